--- a/crates/linenthread-node/tests/connect_timeout.rs
+++ b/crates/linenthread-node/tests/connect_timeout.rs
@@ -1,4 +1,4 @@
-//! How long a connection to a peer may take, by the age of the process.
+//! The connect time-out during and after the start-up of the process.
 
 #[path = "../src/connect_timeout.rs"]
 mod connect_timeout;
@@ -9,16 +9,12 @@
 use yare::parameterized;
 
 #[parameterized(
-    young = { 0, 600, 120 },
-    still_young = { 2_999, 700, 120 },
-    grown = { 3_000, 600, 600 },
-    in_more_of_a_hurry = { 10, 50, 50 },
+    at_start = { 0, 600, 120 },
+    at_end_of_startup = { 2_999, 700, 120 },
+    after_startup = { 3_000, 600, 600 },
+    shorter_time_out_at_start = { 10, 50, 50 },
 )]
-fn a_young_process_does_not_wait_long_for_a_peer_that_is_not_up(
-    uptime: u64,
-    timeout: u64,
-    expected: u64,
-) {
+fn the_connect_time_out_is_short_during_startup(uptime: u64, timeout: u64, expected: u64) {
     let ms = Duration::from_millis;
     assert_eq!(connect_timeout(ms(uptime), ms(timeout)), ms(expected));
 }
--- a/crates/linenthread-node/tests/duties.rs
+++ b/crates/linenthread-node/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Processes on loopback that report their duties at the platform, as `linenthread-ctl` puts them together.
+//! Status of the duties at the platform: read from processes on loopback and combined by `linenthread-ctl`.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -7,17 +7,17 @@
 use linenthread_ctl::{DutiesStatus, DutyHolder, DutyReport, Request};
 use linenthread_demo::Cluster;
 
-/// How long one call may take.
+/// The time-out of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a duty may be without a holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a process may take to log what is waited for.
+/// The time-out for an expected log line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
-/// Between two looks at who holds it.
+/// The interval between two reads of the status.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const CONTROL_NODES: [&str; 3] = ["control-1", "control-2", "control-3"];
 
-/// What the control nodes that respond report.
+/// Returns the status combined from the reports of all control nodes that respond.
 fn duties(cluster: &Cluster) -> DutiesStatus {
     let reports = cluster
         .control_addresses()
@@ -33,25 +33,26 @@
     DutiesStatus::new(&reports, Vec::new())
 }
 
-/// Who holds the duty, as soon as somebody does under a fence above this one.
-fn wait_for_holder(cluster: &Cluster, above: u64) -> DutyHolder {
-    let give_up_at = Instant::now() + HOLDER_TIMEOUT;
+/// Waits until a node holds the duty with a fencing token above `min_exclusive`, and returns the holder.
+fn wait_for_holder(cluster: &Cluster, min_exclusive: u64) -> DutyHolder {
+    let deadline = Instant::now() + HOLDER_TIMEOUT;
     loop {
         let mut duties = duties(cluster).duties;
         let holder = duties.pop().and_then(|duty| duty.holder);
-        match holder.filter(|holder| holder.fence > above) {
+        match holder.filter(|holder| holder.fence > min_exclusive) {
             Some(holder) => return holder,
-            None => assert!(Instant::now() < give_up_at, "nobody holds the duty"),
+            None => assert!(Instant::now() < deadline, "no node holds the duty"),
         }
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-// Guards against keys that one program writes and the other does not read, and a holder that nobody can see.
+// Guards against JSON keys that the daemon writes but `linenthread-ctl` does not read, and against a holder that is
+// missing from the status.
 #[test]
-fn operators_see_who_holds_the_duty_and_that_it_moves() {
+fn the_status_shows_the_holder_of_the_duty_and_its_successor() {
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
-    // Nothing listens at the discard port: the platform is down.
+    // Nothing listens on the discard port, so the platform is unreachable.
     cluster.set_further_settings("cloud_api.address=127.0.0.1:9\ncloud_api.tasks=accounting\n");
     cluster.start(3, 1).unwrap();
     let first = wait_for_holder(&cluster, 0);
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn there_are_no_duties_where_the_settings_name_no_platform() {
+fn there_are_no_duties_if_the_settings_contain_no_platform() {
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
     cluster.start(3, 1).unwrap();
     for node in CONTROL_NODES {
--- a/crates/linenthread-node/tests/lost_control.rs
+++ b/crates/linenthread-node/tests/lost_control.rs
@@ -1,4 +1,4 @@
-//! Processes on loopback, one of which loses control while a tenant's requests arrive.
+//! An ingress node that loses contact with all control nodes while a tenant's requests arrive; processes on loopback.
 
 use std::path::Path;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 use linenthread_demo::{Cluster, Order};
 use serde_json::{Value, json};
 
-/// How long a process may take to log what is waited for.
+/// The time-out for an expected log line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long one request or call may take.
+/// The time-out of one request or call.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a request is sent before a status that is waited for is given up.
+/// How many requests are sent while waiting for a status.
 const MAX_REQUESTS: usize = 300;
-/// Between two of them.
+/// The interval between these requests.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const MACHINES: [&str; 4] = ["control-1", "control-2", "control-3", "ingress-1"];
 const CONTROL_NODES: [&str; 3] = ["control-1", "control-2", "control-3"];
 const KEY: &str = "key-of-milo40";
 
-/// Three control nodes, and an ingress node that goes on without them for 1.5 s.
+/// Starts three control nodes, and an ingress node that accepts keys for 1.5 s without contact with them.
 fn cluster() -> Cluster {
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
     cluster
@@ -30,13 +30,13 @@
         assert!(cluster.wait_for_line(node, &["event=control_listening"], LOG_TIMEOUT));
     }
     cluster.start_replicas("s1", 2).unwrap();
-    replace(&cluster);
+    commit_configuration(&cluster);
     assert!(cluster.wait_for_line("ingress-1", &["event=configuration_confirmed"], LOG_TIMEOUT));
     cluster
 }
 
-/// Puts a configuration with one tenant into force.
-fn replace(cluster: &Cluster) {
+/// Commits a configuration with one tenant.
+fn commit_configuration(cluster: &Cluster) {
     let order = Order::new(0, 1, &["s1"], 0);
     let mut document: Value = serde_json::from_slice(&order.document).unwrap();
     document["clients"] = json!([{"label": "milo40", "credentials": [KEY]}]);
@@ -54,8 +54,8 @@
     assert_eq!(client.send(&request, 20).unwrap().status, 200);
 }
 
-/// The status of the response to a tenant's request; 0 if there is none.
-fn status(cluster: &Cluster, number: usize) -> u16 {
+/// Sends a request of the tenant. Returns the status of the response, or 0 if there is none.
+fn request_status(cluster: &Cluster, number: usize) -> u16 {
     let headers = [
         ("Host", "index.example".to_owned()),
         ("X-Attempt-Id", format!("a{number}")),
@@ -73,18 +73,18 @@
     response.map_or(0, |response| response.status)
 }
 
-/// Sends requests until one has this status; whether one had.
+/// Sends requests until a response has the expected status. Returns whether there was one.
 fn wait_for_status(cluster: &Cluster, expected: u16) -> bool {
     (0..MAX_REQUESTS).any(|number| {
         std::thread::sleep(REQUEST_INTERVAL);
-        status(cluster, number) == expected
+        request_status(cluster, number) == expected
     })
 }
 
-// Guards against heartbeats that do not count as contact, or that count without a control node, and against logs of a
-// whole run that hold a key.
+// Guards against heartbeats that do not count as contact, contact that is assumed while no control node runs, and keys
+// in the logs.
 #[test]
-fn a_tenant_is_refused_while_control_is_lost_and_no_log_holds_its_key() {
+fn a_tenant_is_rejected_without_control_nodes_and_its_key_is_not_logged() {
     let mut cluster = cluster();
     assert!(wait_for_status(&cluster, 200));
     for node in CONTROL_NODES {
@@ -93,9 +93,9 @@
         cluster.kill(node);
     }
     assert!(wait_for_status(&cluster, 503));
-    // It stays so.
+    // The tenant is still rejected later.
     std::thread::sleep(Duration::from_secs(2));
-    assert_eq!(status(&cluster, MAX_REQUESTS), 503);
+    assert_eq!(request_status(&cluster, MAX_REQUESTS), 503);
     for node in CONTROL_NODES {
         cluster.start_process(node).unwrap();
     }
--- a/crates/linenthread-node/tests/platform_client.rs
+++ b/crates/linenthread-node/tests/platform_client.rs
@@ -1,5 +1,5 @@
-//! Each outcome of a call at the platform, over real sockets. Time-outs pass in tokio's paused time: it is paused where
-//! nothing is under way on a socket any more.
+//! Each outcome of a call to the platform, over real sockets. Time-outs elapse in tokio's paused time, which starts
+//! when no data is in transit on a socket any more.
 
 #[path = "../src/control/platform_client.rs"]
 mod platform_client;
@@ -27,10 +27,10 @@
 const WINDOW: u64 = 353_445_120;
 const BODY: &str = r#"{"epoch":353445120,"tallies":{"milo":412}}"#;
 
-/// More than the buffers of a connection take: the write of it stops midway.
+/// More than the buffers of a connection can hold, so that writing stops in the middle of the request.
 const LARGE_BODY_BYTES: usize = 64 << 20;
 
-/// How long such a call may be written: shorter than the client waits for a response.
+/// How long a large call may be written: less than the client's time-out for the response.
 const LARGE_CALL_LEASE: Duration = Duration::from_secs(2);
 
 const RULES: PlatformRules = PlatformRules {
@@ -43,7 +43,7 @@
     Arc::new(FakePlatform::start(RULES))
 }
 
-/// A call that may be written for a minute.
+/// Creates a call whose lease lasts for a minute.
 fn call_with_fence(fence: u64) -> PlatformCall {
     PlatformCall {
         id: PlatformCallId::default().next(),
@@ -64,11 +64,14 @@
     send(platform.address, &call_with_fence(fence)).await
 }
 
-/// Waits until the platform's log is as expected.
+/// Waits until the platform's log satisfies the condition.
 async fn wait_for(platform: &Arc<FakePlatform>, is_expected: fn(&PlatformLog) -> bool) {
     let platform = platform.clone();
     let waiting = tokio::task::spawn_blocking(move || platform.wait_until(PATIENCE, is_expected));
-    assert!(waiting.await.unwrap(), "the log is as expected in time");
+    assert!(
+        waiting.await.unwrap(),
+        "time-out while waiting for the platform's log"
+    );
 }
 
 async fn wait_for_end(platform: &Arc<FakePlatform>, end: ConnectionEnd) {
@@ -77,9 +80,9 @@
 }
 
 #[tokio::test]
-async fn an_accepted_report_arrives_as_it_was_decided() {
+async fn an_accepted_report_arrives_unchanged() {
     let platform = platform();
-    // The epoch of a later set of voters, whose log lines show it in two parts.
+    // An epoch after changes of the voters: the upper 32 bits are not zero, and log lines show it in two parts.
     let fence = (7 << 32) + 12;
     assert_eq!(send_to(&platform, fence).await, PlatformOutcome::Accepted);
     wait_for_end(&platform, ConnectionEnd::Closed).await;
@@ -93,14 +96,14 @@
 }
 
 #[tokio::test]
-async fn a_lower_fence_is_too_low() {
+async fn a_lower_fencing_token_is_too_low() {
     let platform = platform();
     assert_eq!(send_to(&platform, 12).await, PlatformOutcome::Accepted);
     assert_eq!(send_to(&platform, 11).await, PlatformOutcome::FenceTooLow);
 }
 
 #[tokio::test]
-async fn a_platform_in_trouble_or_with_too_many_calls_is_busy() {
+async fn a_failing_or_rate_limiting_platform_is_busy() {
     let platform = Arc::new(FakePlatform::start(PlatformRules {
         calls_per_second: 0.001,
         ..RULES
@@ -114,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn a_report_that_the_platform_does_not_understand_is_rejected() {
+async fn an_invalid_report_is_rejected() {
     let platform = platform();
     let mut call = call_with_fence(12);
     call.report.body = "{}".into();
@@ -125,13 +128,13 @@
 }
 
 #[tokio::test]
-async fn a_slow_response_is_waited_for() {
+async fn a_slow_response_is_accepted() {
     let platform = platform();
     platform.set_mode(PlatformMode::Slow(Duration::from_millis(100)));
     assert_eq!(send_to(&platform, 12).await, PlatformOutcome::Accepted);
 }
 
-// --- nothing is sent ---
+// --- calls that are not sent ---
 
 #[tokio::test]
 async fn nothing_is_sent_to_a_platform_that_is_down() {
@@ -140,9 +143,9 @@
     assert_eq!(send_to(&platform, 12).await, PlatformOutcome::NotSent);
 }
 
-/// The listener's queue is full, and the system drops the opening packet of one more connection.
+/// The listener's backlog is full, so the system drops the SYN packet of another connection.
 #[tokio::test]
-async fn a_connection_that_is_not_accepted_times_out() {
+async fn connecting_to_a_full_backlog_times_out() {
     let listener = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let any_port: SocketAddr = "127.0.0.1:0".parse().unwrap();
     listener.bind(&any_port.into()).unwrap();
@@ -150,14 +153,14 @@
     let address = listener.local_addr().unwrap().as_socket().unwrap();
     let _first = TcpStream::connect(address).await.unwrap();
     tokio::time::pause();
-    let began = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     let outcome = send(address, &call_with_fence(12)).await;
     assert_eq!(outcome, PlatformOutcome::NotSent);
-    assert!(began.elapsed() < Duration::from_secs(1));
+    assert!(started_at.elapsed() < Duration::from_secs(1));
 }
 
 #[tokio::test]
-async fn after_the_lease_no_connection_is_made() {
+async fn no_connection_is_opened_after_the_lease() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let address = listener.local_addr().unwrap();
@@ -165,13 +168,13 @@
     for not_after in [Instant::START, clock::now()] {
         call.not_after = not_after;
         assert_eq!(send(address, &call).await, PlatformOutcome::NotSent);
-        let accepted = listener.accept().unwrap_err();
-        assert_eq!(accepted.kind(), ErrorKind::WouldBlock);
+        let error = listener.accept().unwrap_err();
+        assert_eq!(error.kind(), ErrorKind::WouldBlock);
     }
 }
 
 #[tokio::test]
-async fn a_call_without_end_of_its_lease_is_sent() {
+async fn a_call_with_an_unlimited_lease_is_sent() {
     let platform = platform();
     let mut call = call_with_fence(12);
     call.not_after = Instant::NEVER;
@@ -181,14 +184,17 @@
     );
 }
 
-// --- it is unknown what became of the call ---
+// --- calls with an unknown outcome ---
 
 #[parameterized(
     call_is_lost = { PlatformMode::Silent, 0 },
     response_is_lost = { PlatformMode::ResponseLost, 1 },
 )]
 #[test_macro(tokio::test)]
-async fn no_response_is_unknown_and_resets_the_connection(mode: PlatformMode, reports: usize) {
+async fn a_call_without_response_is_unknown_and_resets_the_connection(
+    mode: PlatformMode,
+    reports: usize,
+) {
     let platform = platform();
     platform.set_mode(mode);
     let call = call_with_fence(12);
@@ -203,7 +209,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_is_dropped_resets_the_connection() {
+async fn dropping_a_call_resets_the_connection() {
     let platform = platform();
     platform.set_mode(PlatformMode::Silent);
     let call = call_with_fence(12);
@@ -215,13 +221,13 @@
 }
 
 #[tokio::test]
-async fn a_reset_by_the_platform_is_unknown() {
+async fn a_call_whose_connection_the_platform_resets_is_unknown() {
     let platform = platform();
     platform.set_mode(PlatformMode::Reset);
     assert_eq!(send_to(&platform, 12).await, PlatformOutcome::Unknown);
 }
 
-/// A call that no connection takes at once, and whose lease ends before its other time-outs.
+/// Creates a call that is too large to be written at once and whose lease ends before the other time-outs.
 fn large_call() -> PlatformCall {
     let mut call = call_with_fence(12);
     call.report.body = vec![b' '; LARGE_BODY_BYTES].into();
@@ -229,7 +235,7 @@
     call
 }
 
-/// The bytes that still arrive on a connection, which is reset after them.
+/// Counts the bytes that still arrive on a connection until it is reset.
 async fn count_until_reset(connection: &mut TcpStream) -> usize {
     let mut received = Vec::new();
     let end = connection.read_to_end(&mut received).await.unwrap_err();
@@ -237,9 +243,9 @@
     received.len()
 }
 
-/// The lease ends while the connection takes no more bytes: what is left is never written.
+/// The lease ends while the connection accepts no more bytes: the rest of the request is never written.
 #[tokio::test]
-async fn a_request_that_was_written_in_part_is_unknown_and_resets_the_connection() {
+async fn a_partially_written_request_is_unknown_and_resets_the_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let call = large_call();
@@ -255,7 +261,8 @@
     assert!(count_until_reset(&mut connection).await < LARGE_BODY_BYTES);
 }
 
-/// The bytes that have arrived on a connection, once no more arrive: the thread, and with it the caller, is paused.
+/// Reads from a connection until no more bytes arrive, and returns their number. Blocks the thread, and thereby the
+/// caller of the platform.
 fn drain(connection: &TcpStream) -> usize {
     let socket = SockRef::from(connection);
     let mut buffer = vec![0; 1 << 20];
@@ -271,10 +278,10 @@
     drained
 }
 
-/// The process is paused in the middle of the request, and resumes after the lease with a connection that takes bytes
-/// again: it writes none.
+/// The process is paused in the middle of the request and resumes after the end of the lease, when the connection
+/// accepts bytes again. It must not write any.
 #[tokio::test]
-async fn a_process_that_was_paused_past_the_lease_writes_no_more() {
+async fn a_process_that_resumes_after_the_lease_writes_no_more_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let call = large_call();
@@ -292,7 +299,7 @@
     assert_eq!(count_until_reset(&mut connection).await, 0);
 }
 
-/// Answers one call with these pieces, and returns how the caller ends the connection.
+/// Responds to one call, writing the response in these pieces. Returns how the caller closes the connection.
 async fn respond(listener: &TcpListener, pieces: &[&[u8]]) -> Result<usize, ErrorKind> {
     let (mut connection, _) = listener.accept().await.unwrap();
     connection.set_nodelay(true).unwrap();
@@ -301,15 +308,15 @@
         connection.read_buf(&mut request).await.unwrap();
     }
     for piece in pieces {
-        // A caller that has seen enough has gone.
+        // The caller may have closed the connection already.
         let _ = connection.write_all(piece).await;
         tokio::task::yield_now().await;
     }
-    let ended = connection.read(&mut [0]).await;
-    ended.map_err(|error| error.kind())
+    let end = connection.read(&mut [0]).await;
+    end.map_err(|error| error.kind())
 }
 
-/// The outcome of a call that is answered with these pieces, and how the caller ends the connection.
+/// Makes a call whose response arrives in these pieces. Returns the outcome and how the caller closes the connection.
 async fn exchange(pieces: &[&[u8]]) -> (PlatformOutcome, Result<usize, ErrorKind>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -329,19 +336,19 @@
 }
 
 #[parameterized(
-    bytes = { &b"#".repeat(100_000) },
-    one_header = { &[&b"HTTP/1.1 200 OK\r\nX: "[..], &b"a".repeat(100_000)].concat() },
+    no_line_end = { &b"#".repeat(100_000) },
+    long_header = { &[&b"HTTP/1.1 200 OK\r\nX: "[..], &b"a".repeat(100_000)].concat() },
     other_protocol = { b"220 mail.example ESMTP\r\n" },
 )]
 #[test_macro(tokio::test)]
-async fn a_garbled_head_is_unknown_and_resets_the_connection(response: &[u8]) {
+async fn an_invalid_head_is_unknown_and_resets_the_connection(response: &[u8]) {
     assert_eq!(
         exchange(&[response]).await,
         (PlatformOutcome::Unknown, RESET)
     );
 }
 
-/// The status says what is the case, whatever comes after the head.
+/// The status determines the outcome, even if the rest of the response is invalid.
 #[parameterized(
     accepted = { "200 OK\r\nContent-Length: x", PlatformOutcome::Accepted },
     other_success = { "204 No Content\r\nContent-Length: x, y", PlatformOutcome::Accepted },
@@ -352,7 +359,7 @@
     redirect = { "307 Temporary Redirect\r\nContent-Length: x", PlatformOutcome::Rejected },
 )]
 #[test_macro(tokio::test)]
-async fn the_status_decides(status: &str, expected: PlatformOutcome) {
+async fn the_status_determines_the_outcome(status: &str, expected: PlatformOutcome) {
     let response = format!("HTTP/1.1 {status}\r\n\r\n");
     assert_eq!(exchange(&[response.as_bytes()]).await.0, expected);
 }
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -1,5 +1,5 @@
-//! The system as processes on loopback: what only real sockets, signals and disks can show. Each wait is for a line in
-//! the log of a process, with a time-out.
+//! System tests with processes on loopback, for behaviour that depends on real sockets, signals and disks. The tests
+//! wait for lines in the logs of the processes, with a time-out.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -9,16 +9,16 @@
 
 use linenthread_demo::{Cluster, records};
 
-/// How long a process may take to log what is waited for.
+/// The time-out for an expected log line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
 const SERVICES: [&str; 3] = ["s1", "s2", "s3"];
 
-fn cluster(controls: usize, fronts: usize) -> Cluster {
+fn start_cluster(control_nodes: usize, ingress_nodes: usize) -> Cluster {
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
-    cluster.start(controls, fronts).unwrap();
-    for n in 1..=controls {
+    cluster.start(control_nodes, ingress_nodes).unwrap();
+    for number in 1..=control_nodes {
         assert!(cluster.wait_for_line(
-            &format!("control-{n}"),
+            &format!("control-{number}"),
             &["event=control_listening"],
             LOG_TIMEOUT
         ));
@@ -27,19 +27,19 @@
         cluster.start_replicas(service, 2).unwrap();
     }
     assert_eq!(cluster.configure(0, 1, &SERVICES).unwrap().status, 200);
-    for n in 1..=fronts {
+    for number in 1..=ingress_nodes {
         assert!(cluster.wait_for_line(
-            &format!("ingress-{n}"),
+            &format!("ingress-{number}"),
             &["event=configuration_applied", "revision=1"],
             LOG_TIMEOUT
         ));
         assert!(cluster.wait_for_line(
-            &format!("ingress-{n}"),
+            &format!("ingress-{number}"),
             &["event=configuration_confirmed"],
             LOG_TIMEOUT
         ));
         assert!(cluster.wait_for_line(
-            &format!("ingress-{n}"),
+            &format!("ingress-{number}"),
             &["event=replicas_updated", "present=6"],
             LOG_TIMEOUT
         ));
@@ -47,8 +47,8 @@
     cluster
 }
 
-/// The five greatest of all records of the services.
-fn expected(path: &str) -> Vec<u8> {
+/// Returns the five greatest records of all services.
+fn expected_records(path: &str) -> Vec<u8> {
     let all: Vec<u8> = SERVICES.iter().flat_map(|s| records(s, path)).collect();
     let mut records: Vec<&[u8]> = all.chunks(16).collect();
     records.sort();
@@ -60,27 +60,30 @@
         .collect()
 }
 
-/// Sends a request until a complete response arrives, a bounded number of times.
+/// Repeats a query until a complete response arrives, for a limited number of times.
 fn complete_response(
     cluster: &Cluster,
-    front: &str,
+    ingress_node: &str,
     path: &str,
-    name: &str,
+    id_prefix: &str,
 ) -> Option<linenthread_ctl::Response> {
-    (0..200).find_map(|n| {
-        let reply = cluster.query(front, path, &format!("{name}-{n}")).ok()?;
-        (reply.status == 200 && reply.head.header("x-missing-parts") == Some("0")).then_some(reply)
+    (0..200).find_map(|number| {
+        let response = cluster
+            .query(ingress_node, path, &format!("{id_prefix}-{number}"))
+            .ok()?;
+        (response.status == 200 && response.head.header("x-missing-parts") == Some("0"))
+            .then_some(response)
     })
 }
 
 #[test]
-fn a_query_is_merged_and_every_sub_request_ran_where_it_was_sent() {
-    let cluster = cluster(3, 1);
-    let reply =
+fn responses_are_merged_and_each_sub_request_ran_on_the_replica_in_its_seal() {
+    let cluster = start_cluster(3, 1);
+    let response =
         complete_response(&cluster, "ingress-1", "/all/x?y=1", "a").expect("a complete response");
-    assert_eq!(reply.body, expected("/all/x?y=1"));
-    let attempt = reply.head.header("x-attempt-id").unwrap().to_owned();
-    let seals = reply.head.header("x-part-seals").unwrap();
+    assert_eq!(response.body, expected_records("/all/x?y=1"));
+    let attempt = response.head.header("x-attempt-id").unwrap().to_owned();
+    let seals = response.head.header("x-part-seals").unwrap();
     let services: BTreeSet<&str> = seals
         .split(", ")
         .map(|s| s.split('.').next().unwrap())
@@ -92,27 +95,30 @@
             .any(|r| r.attempt == attempt && r.path == "/all/x?y=1")
     };
     for seal in seals.split(", ") {
-        let ident = seal.split('.').nth(1).unwrap();
+        let replica_id = seal.split('.').nth(1).unwrap();
         assert!(
-            cluster.replicas.iter().any(|r| r.id == ident && ran(r)),
+            cluster
+                .replicas
+                .iter()
+                .any(|r| r.id == replica_id && ran(r)),
             "{seal}"
         );
     }
 }
 
 #[test]
-fn a_crashed_replica_costs_no_response() {
-    let mut cluster = cluster(3, 1);
+fn queries_are_answered_after_a_replica_has_crashed() {
+    let mut cluster = start_cluster(3, 1);
     complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
     cluster.replicas[0].crash();
-    let reply = complete_response(&cluster, "ingress-1", "/all/y", "b")
+    let response = complete_response(&cluster, "ingress-1", "/all/y", "b")
         .expect("a complete response from the others");
-    assert_eq!(reply.body, expected("/all/y"));
+    assert_eq!(response.body, expected_records("/all/y"));
 }
 
 #[test]
-fn a_control_node_that_lost_its_disk_votes_under_its_new_id_and_nothing_is_lost() {
-    let mut cluster = cluster(3, 1);
+fn a_control_node_that_lost_its_disk_votes_with_a_new_id_and_nothing_is_lost() {
+    let mut cluster = start_cluster(3, 1);
     cluster.kill("control-1");
     cluster.erase_disk("control-1").unwrap();
     assert_eq!(cluster.configure(1, 4, &SERVICES).unwrap().status, 200);
@@ -123,13 +129,13 @@
         &["event=control_started", "empty=true", "genesis=false"],
         LOG_TIMEOUT
     ));
-    // The replacement of the voter is a value of its own, which the new node learns.
+    // Replacing the voter takes a separate value, which the new node learns.
     assert!(cluster.wait_for_line(
         "control-1",
         &["event=value_decided", "number=3", "revision=4"],
         LOG_TIMEOUT
     ));
-    // Now another may be lost: the new node and the third are a majority.
+    // The new node and control-3 are a majority, so control-2 may be lost now.
     cluster.kill("control-2");
     assert_eq!(cluster.configure(4, 9, &SERVICES).unwrap().status, 200);
     assert!(cluster.wait_for_line(
@@ -140,12 +146,12 @@
 }
 
 #[test]
-fn control_nodes_that_restart_at_once_have_what_was_acknowledged() {
-    let mut cluster = cluster(3, 1);
+fn control_nodes_that_restart_together_keep_the_acknowledged_configuration() {
+    let mut cluster = start_cluster(3, 1);
     for node in ["control-1", "control-2", "control-3"] {
         cluster.kill(node);
     }
-    // The ingress node goes on with what it has.
+    // The ingress node continues with its last configuration and replicas.
     assert!(complete_response(&cluster, "ingress-1", "/all/z", "a").is_some());
     for node in ["control-1", "control-2", "control-3"] {
         cluster.start_process(node).unwrap();
@@ -169,18 +175,18 @@
 }
 
 #[test]
-fn an_ingress_node_that_shuts_down_answers_what_it_has_read_and_exits_cleanly() {
-    let mut cluster = cluster(1, 1);
+fn an_ingress_node_answers_partially_read_requests_during_a_shutdown_and_exits_cleanly() {
+    let mut cluster = start_cluster(1, 1);
     complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
     let ingress = cluster.ingress_address("ingress-1").unwrap();
     let mut open = TcpStream::connect(ingress).unwrap();
     let mut idle = TcpStream::connect(ingress).unwrap();
-    let request = |a: &str| {
+    let request = |id: &str| {
         format!(
-            "GET /s1/x HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: {a}\r\nX-Remaining-Ms: 3000\r\n\r\n"
+            "GET /s1/x HTTP/1.1\r\nHost: index.example\r\nX-Attempt-Id: {id}\r\nX-Remaining-Ms: 3000\r\n\r\n"
         )
     };
-    // Half a request is read when the shutdown is requested; the rest arrives after that.
+    // Only part of the request has arrived when the shutdown is requested; the rest follows afterwards.
     let text = request("half");
     open.write_all(&text.as_bytes()[..20]).unwrap();
     let shutdown = std::thread::spawn(move || {
@@ -201,7 +207,7 @@
     assert!(shutdown.join().unwrap().1);
 }
 
-/// What a client sends to an ingress node, and the status that it gets.
+/// Returns invalid requests to an ingress node, each with the expected status.
 fn invalid_requests() -> Vec<(String, &'static str)> {
     let host = "Host: index.example\r\nX-Remaining-Ms: 900\r\n";
     vec![
@@ -241,7 +247,7 @@
     ]
 }
 
-/// What a replica or an operator sends to a control node, and the status that it gets.
+/// Returns invalid calls to a control node, each with the expected status.
 fn invalid_calls() -> Vec<(String, &'static str)> {
     let heartbeat = |body: &str| {
         format!(
@@ -276,7 +282,7 @@
     ]
 }
 
-/// Sends bytes on a connection of their own, and reads until its end.
+/// Sends bytes on a new connection and reads the response until the connection is closed.
 fn exchange(peer: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(peer).unwrap();
     stream.write_all(bytes).unwrap();
@@ -286,14 +292,14 @@
 }
 
 #[test]
-fn invalid_input_is_rejected_and_harms_nothing() {
-    let mut cluster = cluster(1, 1);
+fn invalid_input_is_rejected_without_side_effects() {
+    let mut cluster = start_cluster(1, 1);
     complete_response(&cluster, "ingress-1", "/all/x", "a").expect("a complete response");
-    let (ingress, calls) = (
+    let (ingress, control) = (
         cluster.ingress_address("ingress-1").unwrap(),
         cluster.control_addresses()[0],
     );
-    for (peer, cases) in [(ingress, invalid_requests()), (calls, invalid_calls())] {
+    for (peer, cases) in [(ingress, invalid_requests()), (control, invalid_calls())] {
         for (sent, status) in cases {
             let response = exchange(peer, sent.as_bytes());
             assert!(
@@ -302,8 +308,8 @@
             );
         }
     }
-    // What is no frame ends its connection.
-    let peers = SocketAddr::new(calls.ip(), 17_120);
+    // Bytes that are not a valid frame end the connection.
+    let peers = SocketAddr::new(control.ip(), 17_120);
     for bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         &[0, 0, 0, 3, 0xff, 0xff, 0xff],
@@ -324,7 +330,7 @@
     ));
     assert!(cluster.is_running("ingress-1") && cluster.is_running("control-1"));
     assert!(complete_response(&cluster, "ingress-1", "/all/after", "z").is_some());
-    // Nothing of it ran anywhere.
+    // No replica has received any of the invalid requests.
     assert!(
         cluster
             .replicas
--- a/crates/linenthread-node/tests/usage_scenarios.rs
+++ b/crates/linenthread-node/tests/usage_scenarios.rs
@@ -1,22 +1,22 @@
-//! Usage reports on real processes, while their senders are killed and paused and the platform is in trouble.
+//! Usage reports by real processes while their senders are killed and paused and the platform fails.
 //!
-//! In a program of their own: the reports are due within the platform's time, so these clusters are not to share the machine
-//! with those of all other scenarios.
+//! These scenarios are a separate test program: reports have to arrive within the time that the platform sets, so these
+//! clusters must not share the machine with those of all other scenarios.
 
 mod scenario;
 
 use linenthread_demo::scenarios::Scenario;
 
-use scenario::holds;
+use scenario::assert_scenario_holds;
 
-/// Point 7: guards against ONE and Duty, a second sender or a second report of a window after a kill or a freeze.
+/// Point 7: guards against two senders, or two reports of a window, after a kill or a pause (ONE, Duty).
 #[test]
-fn each_window_is_reported_once_though_holders_are_killed_and_paused() {
-    holds(Scenario::UsageReports, 11);
+fn each_window_is_reported_once_while_duty_holders_are_killed_and_paused() {
+    assert_scenario_holds(Scenario::UsageReports, 11);
 }
 
-/// Point 7: guards against ONE and Duty, a report that is lost or differs when the platform was down, silent or slow.
+/// Point 7: guards against a report that is lost or differs after the platform was down, silent or slow (ONE, Duty).
 #[test]
-fn what_was_missed_while_the_platform_was_in_trouble_is_reported_once() {
-    holds(Scenario::PlatformTrouble, 12);
+fn each_window_is_reported_once_after_the_platform_recovers() {
+    assert_scenario_holds(Scenario::PlatformTrouble, 12);
 }
--- a/crates/linenthread-node/tests/usage_updates.rs
+++ b/crates/linenthread-node/tests/usage_updates.rs
@@ -1,5 +1,5 @@
-//! What an ingress node tells a control node of its usage, to the last request of its shutdown. The ingress node is the
-//! real process; the control node and the replica are played by the test.
+//! Usage counts that an ingress node sends to a control node, up to the last request of its shutdown. The ingress node
+//! is a real process; the test simulates the control node and the replica.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -23,32 +23,33 @@
 const CLIENTS_PORT: u16 = 17_131;
 const TENANT: &str = "milo40";
 const KEY: &str = "key-of-milo40";
-/// The agreed time when the control node accepts the session.
+/// The agreed wall-clock time when the control node accepts the session.
 const AGREED_START_MS: u64 = 1_767_225_600_000;
-/// Between two heartbeats of the control node: so many that there are always bytes on their way to the ingress node.
+/// The interval between heartbeats of the control node. It is so short that bytes are always in transit to the ingress
+/// node.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
-/// How long anything may take that is waited for.
+/// The time-out for anything that the test waits for.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// How long after SIGTERM the request ends that is in flight: later than the ingress node stops to accept, which it
-/// does after 2.6 s.
-const ENDS_AFTER_SIGNAL: Duration = Duration::from_millis(3_200);
+/// How long the replica takes for the request in flight during the shutdown. The request completes after the ingress
+/// node has stopped accepting connections, 2.6 s after SIGTERM.
+const LAST_REQUEST_DURATION: Duration = Duration::from_millis(3_200);
 
-/// The greatest count of the tenant in each window, of all updates so far.
-type Counted = Arc<Mutex<BTreeMap<u64, u64>>>;
+/// The greatest count of the tenant in each window, over all updates so far.
+type UsageCounts = Arc<Mutex<BTreeMap<u64, u64>>>;
 
-/// The requests of the tenant in all windows.
-fn total(counted: &Counted) -> u64 {
-    counted.lock().unwrap().values().sum()
+/// Returns the number of requests of the tenant in all windows.
+fn total(counts: &UsageCounts) -> u64 {
+    counts.lock().unwrap().values().sum()
 }
 
-fn take_in(counted: &Counted, update: &UsageUpdate) {
+fn merge_update(counts: &UsageCounts, update: &UsageUpdate) {
     for usage in &update.ingress_nodes {
         assert_eq!(usage.name, "ingress");
         for window in &usage.windows {
             for count in &window.tenants {
                 assert_eq!(count.tenant, TENANT);
-                let mut counted = counted.lock().unwrap();
-                let known = counted.entry(window.window).or_default();
+                let mut counts = counts.lock().unwrap();
+                let known = counts.entry(window.window).or_default();
                 *known = count.requests.max(*known);
             }
         }
@@ -64,8 +65,8 @@
     .into_bytes()
 }
 
-/// What the control node sends first.
-fn introduction() -> [PeerMessage; 2] {
+/// Creates the first messages of the control node.
+fn initial_messages() -> [PeerMessage; 2] {
     let hello = Hello {
         version: VERSION,
         name: "control".into(),
@@ -101,11 +102,11 @@
     ]
 }
 
-/// Sends what a control node sends, until the connection has ended.
-fn send_heartbeats(mut stream: TcpStream) {
+/// Sends the initial messages and then heartbeats, until the connection has ended.
+fn send_control_messages(mut stream: TcpStream) {
     let started_at = Instant::now();
     let mut bytes = BytesMut::new();
-    introduction()
+    initial_messages()
         .into_iter()
         .for_each(|message| encode(message, &mut bytes));
     while stream.write_all(&bytes).is_ok() {
@@ -121,16 +122,16 @@
     }
 }
 
-/// Plays a control node for one session; returns whether the ingress node ended it in order.
-fn play_control_node(listener: &TcpListener, counted: &Counted) -> bool {
+/// Simulates a control node for one session. Returns whether the ingress node closed the session gracefully.
+fn simulate_control_node(listener: &TcpListener, counts: &UsageCounts) -> bool {
     let (mut stream, _) = listener.accept().unwrap();
     let writer = stream.try_clone().unwrap();
-    spawn(move || send_heartbeats(writer));
+    spawn(move || send_control_messages(writer));
     let (mut buffer, mut chunk) = (BytesMut::new(), [0; 4_096]);
     loop {
         while let Some(message) = decode(&mut buffer).unwrap() {
             if let PeerMessage::UsageUpdate(update) = message {
-                take_in(counted, &update);
+                merge_update(counts, &update);
             }
         }
         match stream.read(&mut chunk) {
@@ -144,8 +145,8 @@
     }
 }
 
-/// Plays a replica that answers each request after as long as its path says, in milliseconds.
-fn play_replica(listener: &TcpListener) {
+/// Simulates a replica that responds to each request after the number of milliseconds in its path.
+fn simulate_replica(listener: &TcpListener) {
     while let Ok((stream, _)) = listener.accept() {
         spawn(move || answer_requests(stream));
     }
@@ -157,8 +158,8 @@
         text.push_str(&String::from_utf8_lossy(&chunk[..length]));
         while let Some((head, rest)) = text.split_once("\r\n\r\n") {
             let (head, rest) = (head.to_owned(), rest.to_owned());
-            let after = head.split(['/', ' ']).find_map(|part| part.parse().ok());
-            sleep(Duration::from_millis(after.unwrap_or(0)));
+            let delay_ms = head.split(['/', ' ']).find_map(|part| part.parse().ok());
+            sleep(Duration::from_millis(delay_ms.unwrap_or(0)));
             let id = head
                 .lines()
                 .find_map(|line| line.strip_prefix("X-Attempt-Id: "));
@@ -191,13 +192,13 @@
         .unwrap()
 }
 
-/// The status of a request whose replica takes so long; `None` if there is no response.
-fn query(after: Duration, id: &str) -> Option<u16> {
+/// Sends a request to which the replica responds after `delay`. Returns the status, or `None` if there is no response.
+fn query(delay: Duration, id: &str) -> Option<u16> {
     let address: SocketAddr = format!("{INGRESS_IP}:{CLIENTS_PORT}").parse().unwrap();
     let mut stream = TcpStream::connect(address).ok()?;
     let request = format!(
         "GET /{} HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: {id}\r\nAuthorization: Bearer {KEY}\r\nConnection: close\r\n\r\n",
-        after.as_millis()
+        delay.as_millis()
     );
     stream.write_all(request.as_bytes()).ok()?;
     let mut response = String::new();
@@ -205,10 +206,13 @@
     response.split(' ').nth(1)?.parse().ok()
 }
 
-fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < deadline, "{what}");
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "time-out while waiting until {description}"
+        );
         sleep(Duration::from_millis(20));
     }
 }
@@ -219,28 +223,31 @@
     assert!(sent.unwrap().success());
 }
 
-/// A request that ends after all others of a shutdown is still counted at the control node, although bytes of it are
-/// always on their way to the ingress node.
+/// The last request that completes during a shutdown must still be counted at the control node. Bytes from the control
+/// node are always in transit to the ingress node, so closing the connection too early would reset it and could lose
+/// the last counts.
 #[test]
-fn a_control_node_is_told_of_all_requests_up_to_the_last_of_a_shutdown() {
+fn a_control_node_receives_the_counts_of_all_requests_including_the_last_of_a_shutdown() {
     let replica = TcpListener::bind(REPLICA).unwrap();
-    spawn(move || play_replica(&replica));
+    spawn(move || simulate_replica(&replica));
     let control = TcpListener::bind((CONTROL_IP, PEERS_PORT)).unwrap();
-    let counted = Counted::default();
+    let counts = UsageCounts::default();
     let session: JoinHandle<bool> = {
-        let counted = counted.clone();
-        spawn(move || play_control_node(&control, &counted))
+        let counts = counts.clone();
+        spawn(move || simulate_control_node(&control, &counts))
     };
     let mut ingress = start_ingress_node();
 
-    wait_until("it serves", || query(Duration::ZERO, "first") == Some(200));
-    wait_until("the first request is reported", || total(&counted) == 1);
+    wait_until("the ingress node serves requests", || {
+        query(Duration::ZERO, "first") == Some(200)
+    });
+    wait_until("the first request is reported", || total(&counts) == 1);
 
-    let last = spawn(|| query(ENDS_AFTER_SIGNAL, "last"));
+    let last = spawn(|| query(LAST_REQUEST_DURATION, "last"));
     sleep(Duration::from_millis(100));
     terminate(&ingress);
     assert_eq!(last.join().unwrap(), Some(200));
-    assert!(session.join().unwrap(), "the session ends in order");
+    assert!(session.join().unwrap(), "the session is closed gracefully");
     assert!(ingress.wait().unwrap().success());
-    assert_eq!(total(&counted), 2);
+    assert_eq!(total(&counts), 2);
 }
