--- a/crates/linenthread-messages/src/agreement.rs
+++ b/crates/linenthread-messages/src/agreement.rs
@@ -182,7 +182,7 @@
     /// The Paxos instance.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The greater ballot.
+    /// The promised ballot.
     #[prost(message, required, tag = "2")]
     pub promised: Ballot,
 }
@@ -201,7 +201,7 @@
     /// The newest requested revision.
     #[prost(uint64, tag = "1")]
     pub newest: u64,
-    /// The greatest revision that is not requested any more.
+    /// Only orders with greater revisions are requested.
     #[prost(uint64, tag = "2")]
     pub above: u64,
 }
@@ -224,7 +224,7 @@
     /// The number of the decided value in the record; 0 if there is none.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The number of the order log record, counted within this incarnation; 0 if it is none.
+    /// The number of the order log record, counted within this incarnation; 0 if the record is not one.
     #[prost(uint64, tag = "2")]
     pub order_log_record: u64,
 }
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -220,7 +220,7 @@
     /// The value was confirmed to be the newest at some time since the session began.
     #[prost(bool, tag = "7")]
     pub confirmed: bool,
-    /// The control node has been in contact with a majority for longer than the time-out of replicas. Each running
+    /// The control node has been in contact with a majority for longer than the timeout of replicas. Each running
     /// replica has sent a heartbeat since, so one that a complete update omits does not run. If not set, heartbeats of
     /// some replicas may not have reached this node yet, and a complete update removes no replica.
     #[prost(bool, tag = "8")]
--- a/crates/linenthread-node/src/control/api.rs
+++ b/crates/linenthread-node/src/control/api.rs
@@ -29,7 +29,7 @@
 /// How long a connection may be idle between calls.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The time-out for a request head, for each chunk of a body, and for writing a response.
+/// The timeout for a request head, for each chunk of a body, and for writing a response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Accepts and serves connections for as long as the process runs.
--- a/crates/linenthread-node/src/control/mod.rs
+++ b/crates/linenthread-node/src/control/mod.rs
@@ -45,7 +45,7 @@
 
 impl ControlServer {
     /// Begins the graceful shutdown and keeps serving until other nodes store all state of this node and this node no
-    /// longer holds the leader lease, or until the time-out.
+    /// longer holds the leader lease, or until the timeout.
     pub(crate) async fn shut_down(&self, timeout: Duration) {
         let started_at = Instant::now();
         let (notify_may_exit, may_exit) = oneshot::channel();
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Closes all sessions, so that peers do not have to wait for a time-out.
+    /// Closes all sessions, so that peers do not have to wait for a timeout.
     pub(crate) async fn stop(&self) {
         let (notify_stopped, stopped) = oneshot::channel();
         if self.handle.send(Command::Stop(notify_stopped)).await {
--- a/crates/linenthread-node/src/control/peer_sessions.rs
+++ b/crates/linenthread-node/src/control/peer_sessions.rs
@@ -14,7 +14,7 @@
 use crate::accept;
 use crate::peer_connection::{self, AfterLastMessage};
 
-/// The time-out for connecting to another control node.
+/// The timeout for connecting to another control node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Accepts connections from peers for as long as the process runs.
--- a/crates/linenthread-node/src/control/platform_client.rs
+++ b/crates/linenthread-node/src/control/platform_client.rs
@@ -16,10 +16,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant as TimerInstant, timeout, timeout_at};
 
-/// The time-out for connecting.
+/// The timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The time-out for writing the request and reading the response. It allows the platform to respond fifty times more
+/// The timeout for writing the request and reading the response. It allows the platform to respond fifty times more
 /// slowly than usual.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -69,7 +69,7 @@
 }
 
 /// Opens a connection that is reset when it is dropped. Returns `None` if the connection fails, or is not established
-/// before the time-out or the end of the lease.
+/// before the timeout or the end of the lease.
 async fn connect(address: SocketAddr, not_after: Instant) -> Option<TcpStream> {
     let remaining = not_after - clock::now();
     if remaining.is_zero() {
--- a/crates/linenthread-node/src/control/state_writer.rs
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -22,7 +22,7 @@
 const MAX_QUEUED_RECORDS: usize = 256;
 
 /// Syncs that complete later than this after a record was queued are logged. An order needs two consecutive syncs
-/// within the 900 ms time-out of a call.
+/// within the 900 ms timeout of a call.
 const SLOW_SYNC_THRESHOLD: Duration = Duration::from_millis(450);
 
 /// The size of the thread's stack, in bytes.
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -24,10 +24,10 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// The session ends if nothing arrives from the control node, which also sends heartbeats, for this long.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// The time-out for the first message of the control node, which sends its Hello at once. It is shorter than
+/// The timeout for the first message of the control node, which sends its Hello at once. It is shorter than
 /// [`RECEIVE_TIMEOUT`], so that a control node that is suspended, or can receive but not send, is abandoned sooner.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// The time-out for connecting to the control node.
+/// The timeout for connecting to the control node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// The session ends after this many consecutive heartbeats of a control node without quorum.
 const MAX_HEARTBEATS_WITHOUT_QUORUM: u32 = 2;
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -20,7 +20,7 @@
 
 /// How long a connection may be idle between readiness checks.
 const READINESS_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The time-out for reading a readiness check, and for writing its response.
+/// The timeout for reading a readiness check, and for writing its response.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(3);
 /// The maximum length of the request head of a readiness check, in bytes.
 const MAX_READINESS_HEAD_BYTES: usize = 16_384;
@@ -35,7 +35,7 @@
 const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(2_600);
 /// How long before the end of the grace period the last requests are abandoned, to leave time for the process to exit.
 const LAST_REQUESTS_MARGIN: Duration = Duration::from_millis(600);
-/// The time-out for sending the last usage counts to a control node.
+/// The timeout for sending the last usage counts to a control node.
 const USAGE_REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How much of [`LAST_REQUESTS_MARGIN`] sending the last usage counts may take.
 const USAGE_REPORT_MARGIN: Duration = Duration::from_millis(300);
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -42,12 +42,11 @@
                 /// Forwards requests without the decision module, as a baseline for measurements.
                 optional --pass-through
             }
-            /// Validates a configuration like a control node does. Exits with code 2 and an error line if it is
-            /// invalid.
+            /// Validates a configuration as a control node does. Exits with code 2 and an error line if invalid.
             cmd check {
                 required configuration: PathBuf
             }
-            /// Validates a settings file. Exits with code 2 and an error line if it is invalid.
+            /// Validates a settings file. Exits with code 2 and an error line if invalid.
             cmd check-settings {
                 required settings: PathBuf
             }
--- a/crates/linenthread-node/src/peer_connection.rs
+++ b/crates/linenthread-node/src/peer_connection.rs
@@ -49,7 +49,7 @@
     let _ = socket.set_tcp_keepalive(&keepalive);
 }
 
-/// Connects to a peer. The time-out is shorter during the start-up of this process.
+/// Connects to a peer. The timeout is shorter during the start-up of this process.
 ///
 /// # Errors
 ///
--- a/crates/linenthread-node/tests/duties.rs
+++ b/crates/linenthread-node/tests/duties.rs
@@ -7,11 +7,11 @@
 use linenthread_ctl::{DutiesStatus, DutyHolder, DutyReport, Request};
 use linenthread_demo::Cluster;
 
-/// The time-out of one call.
+/// The timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a duty may be without a holder.
 const HOLDER_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time-out for an expected log line.
+/// The timeout for an expected log line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
 /// The interval between two reads of the status.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/linenthread-node/tests/lost_control.rs
+++ b/crates/linenthread-node/tests/lost_control.rs
@@ -8,9 +8,9 @@
 use linenthread_demo::{Cluster, Order};
 use serde_json::{Value, json};
 
-/// The time-out for an expected log line.
+/// The timeout for an expected log line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
-/// The time-out of one request or call.
+/// The timeout of one request or call.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// How many requests are sent while waiting for a status.
 const MAX_REQUESTS: usize = 300;
--- a/crates/linenthread-node/tests/platform_client.rs
+++ b/crates/linenthread-node/tests/platform_client.rs
@@ -1,4 +1,4 @@
-//! Each outcome of a call to the platform, over real sockets. Time-outs elapse in tokio's paused time, which starts
+//! Each outcome of a call to the platform, over real sockets. Timeouts elapse in tokio's paused time, which starts
 //! when no data is in transit on a socket any more.
 
 #[path = "../src/control/platform_client.rs"]
@@ -30,7 +30,7 @@
 /// More than the buffers of a connection can hold, so that writing stops in the middle of the request.
 const LARGE_BODY_BYTES: usize = 64 << 20;
 
-/// How long a large call may be written: less than the client's time-out for the response.
+/// How long a large call may be written: less than the client's timeout for the response.
 const LARGE_CALL_LEASE: Duration = Duration::from_secs(2);
 
 const RULES: PlatformRules = PlatformRules {
@@ -70,7 +70,7 @@
     let waiting = tokio::task::spawn_blocking(move || platform.wait_until(PATIENCE, is_expected));
     assert!(
         waiting.await.unwrap(),
-        "time-out while waiting for the platform's log"
+        "timeout while waiting for the platform's log"
     );
 }
 
@@ -227,7 +227,7 @@
     assert_eq!(send_to(&platform, 12).await, PlatformOutcome::Unknown);
 }
 
-/// Creates a call that is too large to be written at once and whose lease ends before the other time-outs.
+/// Creates a call that is too large to be written at once and whose lease ends before the other timeouts.
 fn large_call() -> PlatformCall {
     let mut call = call_with_fence(12);
     call.report.body = vec![b' '; LARGE_BODY_BYTES].into();
@@ -261,8 +261,8 @@
     assert!(count_until_reset(&mut connection).await < LARGE_BODY_BYTES);
 }
 
-/// Reads from a connection until no more bytes arrive, and returns their number. Blocks the thread, and thereby the
-/// caller of the platform.
+/// Reads from a connection until no more bytes arrive, and returns their number. Blocks the thread, which
+/// also pauses the call.
 fn drain(connection: &TcpStream) -> usize {
     let socket = SockRef::from(connection);
     let mut buffer = vec![0; 1 << 20];
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -1,5 +1,5 @@
 //! System tests with processes on loopback, for behaviour that depends on real sockets, signals and disks. The tests
-//! wait for lines in the logs of the processes, with a time-out.
+//! wait for lines in the logs of the processes, with a timeout.
 
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
@@ -9,7 +9,7 @@
 
 use linenthread_demo::{Cluster, records};
 
-/// The time-out for an expected log line.
+/// The timeout for an expected log line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
 const SERVICES: [&str; 3] = ["s1", "s2", "s3"];
 
--- a/crates/linenthread-node/tests/usage_updates.rs
+++ b/crates/linenthread-node/tests/usage_updates.rs
@@ -28,7 +28,7 @@
 /// The interval between heartbeats of the control node. It is so short that bytes are always in transit to the ingress
 /// node.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(5);
-/// The time-out for anything that the test waits for.
+/// The timeout for anything that the test waits for.
 const TIMEOUT: Duration = Duration::from_secs(20);
 /// How long the replica takes for the request in flight during the shutdown. The request completes after the ingress
 /// node has stopped accepting connections, 2.6 s after SIGTERM.
@@ -211,7 +211,7 @@
     while !condition() {
         assert!(
             Instant::now() < deadline,
-            "time-out while waiting until {description}"
+            "timeout while waiting until {description}"
         );
         sleep(Duration::from_millis(20));
     }
