--- a/crates/linenthread-service/src/frontends/http/connection.rs
+++ b/crates/linenthread-service/src/frontends/http/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client's connection: where its request is, when it is idle, and when it is to close.
+//! The state of one client connection: the progress of its request, and whether it is idle, closing or evicted.
 
 use std::cell::{Cell, RefCell};
 use std::task::Waker;
@@ -9,42 +9,43 @@
 
 use super::REQUEST_TIMEOUT;
 
-/// How long a connection without a request is kept.
+/// How long an idle connection stays open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The same for one that has never sent a request, and for all while more than half of the connections that there
-/// may be are open.
+/// The same for connections that have never had a response, and for all connections while more than half of the
+/// maximum are open.
 const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A request that takes longer than this to arrive may be evicted for a new connection.
+/// A connection whose request takes longer than this to arrive may be evicted in favour of a new one.
 const SLOW_REQUEST: Duration = Duration::from_millis(200);
 
-/// Where a connection's request is.
+/// The progress of a connection's request.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionState {
     Idle,
-    /// Some of a request's head was read.
+    /// Part of a request's head was read.
     ReadingHead,
     /// A request's head was read completely.
     ReadingBody,
-    /// A request was read completely and is not yet answered.
+    /// A request was read completely and is not answered yet.
     AwaitingResponse,
 }
 
-/// The state of one client's connection, shared by its task and the frontend.
+/// The state of one client connection, shared by its task and the frontend.
 pub(super) struct ClientConnection {
     state: Cell<ConnectionState>,
-    /// When it entered its state; the first request begins with the connection.
+    /// When the connection became idle, its request began or its request was read completely. The first request
+    /// begins with the connection.
     since: Cell<Instant>,
-    /// A request of it was answered.
+    /// Whether a request was answered.
     has_had_response: Cell<bool>,
-    /// It closes as soon as it is idle.
+    /// Whether the connection closes as soon as it is idle.
     is_closing: Cell<bool>,
-    /// It closes even amid a request, unless that awaits its response.
+    /// Whether the connection closes even during a request, unless the request awaits its response.
     is_evicted: Cell<bool>,
-    /// Wakes the task that reads.
+    /// Wakes the task that reads from the connection.
     reader: RefCell<Option<Waker>>,
-    /// The client left while its request was awaiting the response.
+    /// Notified when the client disconnects while its request awaits the response.
     client_left: Notify,
-    /// Its request was rejected: nothing more is read, and what was read with it is ignored.
+    /// Whether a request was rejected: nothing more is read, and input that was read along with it is ignored.
     discards_input: Cell<bool>,
 }
 
@@ -67,7 +68,7 @@
         self.since.set(Instant::now());
     }
 
-    /// Some of a request was read. The first one has begun with the connection.
+    /// Records that part of a request was read. The first request has begun with the connection.
     pub(super) fn on_request_bytes(&self) {
         match (self.state.get(), self.has_had_response.get()) {
             (ConnectionState::Idle, true) => self.set_state(ConnectionState::ReadingHead),
@@ -76,26 +77,26 @@
         }
     }
 
-    /// A request's head was read completely.
+    /// Records that a request's head was read completely.
     pub(super) fn on_request_head(&self) {
-        // What arrived in one piece with the request before it has only begun now.
+        // A request that was read along with the previous one begins now.
         self.on_request_bytes();
         self.state.set(ConnectionState::ReadingBody);
     }
 
-    /// A request was read completely.
+    /// Records that a request was read completely.
     pub(super) fn on_request_complete(&self) {
         self.set_state(ConnectionState::AwaitingResponse);
     }
 
-    /// A request was answered.
+    /// Records that a request was answered.
     pub(super) fn on_response_sent(&self) {
         self.set_state(ConnectionState::Idle);
         self.has_had_response.set(true);
         self.wake();
     }
 
-    /// Its request is rejected, and with it whatever else was sent on the connection.
+    /// Ignores all further input, since the current request is rejected.
     pub(super) fn discard_input(&self) {
         self.discards_input.set(true);
     }
@@ -104,42 +105,42 @@
         self.discards_input.get()
     }
 
-    /// Its request was read completely and is not yet answered.
+    /// Returns whether a request was read completely and is not answered yet.
     pub(super) fn awaits_response(&self) -> bool {
         self.state.get() == ConnectionState::AwaitingResponse
     }
 
-    /// Nothing more is to be read: it is evicted, or idle and to close.
+    /// Returns whether nothing more is to be read: the connection is evicted, or it is closing and idle.
     pub(super) fn is_ending(&self) -> bool {
         self.is_evicted.get() || (self.is_closing.get() && self.is_idle())
     }
 
-    /// Sets what wakes the task that reads, once it is to close.
+    /// Sets the waker of the reading task, which is woken once after a response, a close or an eviction.
     pub(super) fn set_reader(&self, reader: &Waker) {
         self.reader.replace(Some(reader.clone()));
     }
 
-    /// The client has left while its request awaits the response.
+    /// Records that the client has disconnected while its request awaits the response.
     pub(super) fn on_client_left(&self) {
         self.client_left.notify_one();
     }
 
-    /// Waits until the client leaves while its request awaits the response.
+    /// Waits until the client disconnects while its request awaits the response.
     pub(super) async fn client_left(&self) {
         self.client_left.notified().await;
     }
 
-    /// When a request that has begun must have been read completely.
+    /// Returns the time by which a request that has begun must be read completely.
     pub(super) fn request_deadline(&self) -> Instant {
         self.since.get() + REQUEST_TIMEOUT
     }
 
-    /// When it entered its state.
+    /// Returns when the connection became idle, its request began or its request was read completely.
     pub(super) fn since(&self) -> Instant {
         self.since.get()
     }
 
-    /// No request has begun, or one that is overdue.
+    /// Whether no request has begun, or only one whose head is overdue.
     fn is_idle(&self) -> bool {
         match self.state.get() {
             ConnectionState::Idle => true,
@@ -148,19 +149,20 @@
         }
     }
 
-    /// It has had an answer, sends no further request, and is not closing yet.
+    /// Returns whether the connection has had a response, is idle since then, and is not closing yet.
     pub(super) fn is_spent(&self) -> bool {
         self.has_had_response.get()
             && self.state.get() == ConnectionState::Idle
             && !self.is_closing.get()
     }
 
-    /// It connected only now: its first request may be on the way.
+    /// Returns whether the client connected so recently that its first request may still be in transit.
     pub(super) fn is_new(&self) -> bool {
         !self.has_had_response.get() && self.since.get().elapsed() <= SLOW_REQUEST
     }
 
-    /// It may be closed for a new connection: it is idle, or its request takes longer than usual to arrive.
+    /// Returns whether the connection may be evicted in favour of a new one: it is idle, or its request takes longer
+    /// than [`SLOW_REQUEST`] to arrive.
     pub(super) fn may_be_evicted(&self) -> bool {
         let may_be_evicted = match self.state.get() {
             ConnectionState::Idle => true,
@@ -172,7 +174,7 @@
         may_be_evicted && !self.is_evicted.get()
     }
 
-    /// It has been idle for longer than it is kept.
+    /// Returns whether the idle time-out has passed, or the time in which a request's head must arrive.
     pub(super) fn is_idle_too_long(&self, is_crowded: bool) -> bool {
         let kept = if is_crowded || !self.has_had_response.get() {
             CROWDED_IDLE_TIMEOUT
@@ -183,13 +185,13 @@
         self.is_idle() && (is_overdue || self.since.get().elapsed() > kept)
     }
 
-    /// Closes it as soon as it is idle.
+    /// Closes the connection as soon as it is idle.
     pub(super) fn close(&self) {
         self.is_closing.set(true);
         self.wake();
     }
 
-    /// Closes it even amid a request, unless that awaits its response.
+    /// Closes the connection, even during a request unless the request awaits its response.
     pub(super) fn evict(&self) {
         self.is_evicted.set(true);
         self.close();
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -1,5 +1,5 @@
-//! The frontend that speaks the platform's HTTP/1.1: which clients' connections are accepted, kept and closed, and
-//! its graceful shutdown.
+//! The frontend for the platform's HTTP/1.1 protocol: accepts, closes and evicts client connections, and shuts down
+//! gracefully.
 
 mod connection;
 mod request;
@@ -25,30 +25,30 @@
 use connection::ClientConnection;
 use stream::ClientStream;
 
-/// How long a request may take to arrive: from the connect for the first, else from its first byte.
+/// How long a request may take to arrive, from the connect for the first request and from its first byte for others.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often connections are checked for idleness.
+/// Interval between checks for idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a client may take to read its response.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long idle connections stay open once the shutdown has begun, as clients still use them.
+/// How long idle connections stay open after the shutdown has begun, since clients may still send requests on them.
 const IDLE_TIMEOUT_WHILE_STOPPING: Duration = Duration::from_millis(600);
-/// How long new connections are accepted once the shutdown has begun; each serves one request.
+/// How long new connections are accepted after the shutdown has begun; each serves one request.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(1_200);
-/// How long a full frontend waits for a connection to close before it evicts another.
+/// How long a frontend at its maximum of connections waits for one to close before it evicts another.
 const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 struct Inner {
     context: Rc<QueryContext>,
     clients: RefCell<Vec<Rc<ClientConnection>>>,
-    /// Client connections at once.
+    /// Maximum number of open client connections.
     max_connections: usize,
-    /// Connections at once that have had an answer and send no further request.
+    /// Maximum number of open connections that are idle after a response.
     max_spent: usize,
     is_stopping: Cell<bool>,
-    /// A connection has closed.
+    /// Notified when a connection has closed.
     closed: Notify,
     error_lines: LogRateLimit,
     accept_lines: LogRateLimit,
@@ -59,7 +59,7 @@
 #[derive(Clone)]
 pub(crate) struct HttpFrontend(Rc<Inner>);
 
-/// A connection that counts among the frontend's. Dropping it is the only way to release its place.
+/// A connection that counts towards the maximum. It is removed from the frontend's connections only by dropping this.
 struct AdmittedClient {
     frontend: HttpFrontend,
     client: Rc<ClientConnection>,
@@ -75,8 +75,8 @@
 }
 
 impl HttpFrontend {
-    /// `max_connections` bounds clients' connections, and `max_spent` those of them that have had an answer and
-    /// send no further request.
+    /// `max_connections` limits the open client connections, and `max_idle_after_response` those of them that are
+    /// idle after a response.
     pub(crate) fn new(context: Rc<QueryContext>, max_connections: usize, max_spent: usize) -> Self {
         HttpFrontend(Rc::new(Inner {
             context,
@@ -91,7 +91,8 @@
         }))
     }
 
-    /// Accepts connections for as long as it is polled. When full, it evicts idle ones first.
+    /// Accepts connections for as long as it is polled. At the maximum of connections, it first evicts one without a
+    /// complete request.
     pub(crate) async fn accept(&self, listener: &TcpListener) {
         loop {
             if self.0.clients.borrow().len() >= self.0.max_connections {
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Shuts down gracefully: accepts what still arrives for a moment, then answers all that was accepted.
+    /// Shuts down gracefully: accepts new connections for [`ACCEPT_WHILE_STOPPING`], then answers the remaining
+    /// requests of all accepted connections.
     pub(crate) async fn stop(&self, listener: TcpListener) {
         info!(
             clients = self.0.clients.borrow().len(),
@@ -130,13 +132,13 @@
             }
             self.close_idle();
         }
-        // What the system has accepted for this program by now is still served.
+        // Connections that the operating system has queued by now are still served.
         while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
             self.admit(stream);
         }
         drop(listener);
         while !self.0.clients.borrow().is_empty() {
-            // Repeatedly: a request may become overdue only now.
+            // Repeated, since a request may become overdue in the meantime.
             tokio::select! {
                 () = self.0.closed.notified() => {}
                 () = sleep(ACCEPT_WHILE_STOPPING) => self.close_idle(),
@@ -145,7 +147,8 @@
         info!("shutdown complete, every accepted request is answered");
     }
 
-    /// Closes connections that are idle for too long, for as long as it is polled.
+    /// Closes connections that are idle for too long, and those beyond the maximum that may be idle after a response,
+    /// for as long as it is polled.
     pub(crate) async fn sweep(&self) {
         let mut ticks = interval(SWEEP_INTERVAL);
         loop {
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Closes connections that have been idle for longer than they are kept.
+    /// Closes connections whose idle time-out has passed.
     fn close_overdue(&self) {
         let clients = self.0.clients.borrow();
         let is_crowded = clients.len() > self.0.max_connections / 2;
@@ -165,8 +168,8 @@
             .for_each(|client| client.close());
     }
 
-    /// Closes all but the last used of the connections that were answered and send no further request: clients that
-    /// send one request and stay would use up the connections of those that have requests.
+    /// Closes the least recently used connections beyond the maximum that may be idle after a response. Otherwise,
+    /// clients that stay connected after one request would use up the connections of clients that have requests.
     fn close_spent(&self) {
         let clients = self.0.clients.borrow();
         let mut spent: Vec<_> = clients.iter().filter(|client| client.is_spent()).collect();
@@ -177,14 +180,14 @@
             .for_each(|client| client.close());
     }
 
-    /// Closes all connections once they are idle.
+    /// Closes each connection as soon as it is idle.
     fn close_idle(&self) {
         for client in self.0.clients.borrow().iter() {
             client.close();
         }
     }
 
-    /// Closes the connection that has been without a complete request for longest.
+    /// Evicts the connection that has been without a complete request for longest.
     fn evict_one(&self) {
         if let Some(suppressed) = self.0.full_lines.admit() {
             warn!(
@@ -194,13 +197,13 @@
         }
         let clients = self.0.clients.borrow();
         let candidates = clients.iter().filter(|client| client.may_be_evicted());
-        // One that has only just connected goes last: its request may be on the way.
+        // New connections are evicted last, since their first request may still be in transit.
         if let Some(client) = candidates.min_by_key(|client| (client.is_new(), client.since())) {
             client.evict();
         }
     }
 
-    /// Serves one connection in a task of its own.
+    /// Adds a connection and spawns a task that serves it.
     fn admit(&self, stream: TcpStream) {
         let client = Rc::new(ClientConnection::new());
         self.0.clients.borrow_mut().push(client.clone());
@@ -241,7 +244,7 @@
             io: stream,
             connection,
         };
-        // However a connection ends, its request was answered or is reported as abandoned.
+        // The error needs no handling: a request was answered, or its query's task detects that the client has left.
         service.call((stream, Some(address))).await.ok();
     }
 }
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -1,4 +1,4 @@
-//! Reads a query's request and checks it against the deployment.
+//! Reads and decodes query requests, and checks them against the deployment.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Reads the body up to its limit. One whose announced length is over that is not read at all.
+/// Reads a body of at most [`protocol::MAX_BODY_BYTES`]. If its announced length exceeds that, nothing is read.
 async fn read_all(request: &mut Request) -> Result<Bytes, RequestError> {
     let length: Option<u64> = request
         .head()
--- a/crates/linenthread-service/src/frontends/http/response.rs
+++ b/crates/linenthread-service/src/frontends/http/response.rs
@@ -1,4 +1,4 @@
-//! Responds to requests: health, queries by their outcomes, and rejections of bad ones.
+//! Responses to health checks and queries, and rejections of invalid requests.
 
 use actix_http::body::BoxBody;
 use actix_http::header::HeaderValue;
@@ -13,7 +13,7 @@
 use crate::query::{self, QueryOutcome, QueryRequest};
 
 impl HttpFrontend {
-    /// The response to one request, whatever it is for.
+    /// Returns the response to a request of any kind.
     pub(super) async fn respond(
         &self,
         request: Request,
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Runs a query for as long as its client stays.
+    /// Runs a query until it has an outcome or the client disconnects.
     async fn run_query(&self, query: QueryRequest, client: &ClientConnection) -> QueryOutcome {
         let (sender, outcome) = oneshot::channel();
         actix_rt::spawn(query::run(self.0.context.clone(), query, sender));
         tokio::select! {
             outcome = outcome => outcome.unwrap_or(QueryOutcome::Failed),
-            // Nobody reads this; the query's task notices as the receiver is dropped.
+            // This outcome is not delivered. The query's task is notified by the drop of the receiver.
             () = client.client_left() => QueryOutcome::Failed,
         }
     }
 
-    /// Rejects a bad request: the reason goes to the client and, at a bounded rate, to the log. The connection ends
-    /// with it, and so does whatever else was sent on it.
+    /// Rejects an invalid request: sends the reason to the client and, at a limited rate, to the log. The connection
+    /// is closed, and anything else that was sent on it is ignored.
     fn respond_with_error(
         &self,
         client: &ClientConnection,
--- a/crates/linenthread-service/src/frontends/http/stream.rs
+++ b/crates/linenthread-service/src/frontends/http/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of a client's connection: reads no more than the state of the connection allows.
+//! The stream of a client connection, which reads only as much as the state of the connection allows.
 
 use std::io;
 use std::pin::Pin;
@@ -10,17 +10,20 @@
 
 use super::connection::ClientConnection;
 
-/// The stream of a client's connection. When it is to close, it ends between requests as if the client had closed
-/// it, and never with a request unread. While a request awaits its response nothing more is read, only whether the
-/// client has left, so that further requests do not pile up here. A request that arrives in one piece with
-/// something that does not parse would be dropped by actix-http unless half-closed connections were allowed.
+/// The stream of a client connection.
+///
+/// To close the connection, the stream ends as if the client had closed it, but only when everything that has arrived
+/// is read: between requests, or during one if the connection is evicted. While a request awaits its response, the
+/// stream reads nothing and only detects whether the client disconnects, so that further requests do not accumulate.
+/// The service must allow half-closed connections; otherwise actix-http would drop a request that is read together with
+/// input that cannot be parsed.
 pub(super) struct ClientStream {
     pub(super) io: TcpStream,
     pub(super) connection: Rc<ClientConnection>,
 }
 
 impl ClientStream {
-    /// Notices whether the client leaves, and reads nothing.
+    /// Detects whether the client has disconnected, without reading anything.
     fn poll_client_left(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.connection.set_reader(cx.waker());
         match self.io.poll_peek(cx, &mut ReadBuf::new(&mut [0])) {
--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -1,4 +1,5 @@
-//! The calls and probes of other sites: each goes to the replica that it names, once, and its outcome back.
+//! Runs the calls and probes of other sites: each is sent to the replica that it names, once, and its outcome is
+//! returned to the peer.
 
 use std::rc::Rc;
 
@@ -13,13 +14,13 @@
 use crate::transports::InFlightAttempt;
 use crate::transports::attempt::{AttemptKey, FinishedAttempt, OutgoingSubRequest, ProbeReport};
 
-/// A call is one attempt at one sub-request.
+/// The key of every call's attempt: a call is one attempt at one sub-request.
 const ONLY_ATTEMPT: AttemptKey = AttemptKey {
     sub_request: SubRequestIndex(0),
     attempt: 0,
 };
 
-/// Identifies a call that runs here.
+/// Identifies a running call.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallKey {
     pub(super) session: SessionId,
@@ -49,7 +50,7 @@
         self.act(|server, _, actions| server.on_call_completed(key.session, outcome, actions));
     }
 
-    /// Makes the one attempt of a call.
+    /// Makes the only attempt of a call.
     async fn attempt(
         &self,
         replica: ReplicaIndex,
@@ -73,7 +74,7 @@
             clock::to_millis_ceil(wait),
             &outcomes,
         );
-        // What is still in flight is cancelled as it is dropped.
+        // Dropping `in_flight` cancels the attempt if it has not finished.
         tokio::select! {
             Some(finished) = finished_attempts.recv() => finished,
             () = sleep(wait) => {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Probes a replica for the other side, and sends it the outcome.
+    /// Probes a replica on behalf of the peer, and sends the outcome to it.
     pub(super) async fn probe(self, connection: ConnectionId, id: ProbeId, replica: String) {
         let report = match self.0.driver.direct_replica(&replica) {
             Some(replica) => self.0.transports.probe(replica).await,
--- a/crates/linenthread-service/src/frontends/link/connection.rs
+++ b/crates/linenthread-service/src/frontends/link/connection.rs
@@ -1,4 +1,4 @@
-//! The connections that other sites open here: accepted, read and written by a task each.
+//! Connections from other sites: accepts them, and reads and writes each in a task of its own.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,16 +20,17 @@
 
 /// The size of one read, in bytes.
 const READ_BYTES: usize = 32 * 1024;
-/// Connections at once. More than there may be sessions, since old ones are closed only when new ones arrive.
+/// Maximum number of open connections. Higher than the number of sessions, since the old connection of a session is
+/// closed only when a new one arrives.
 const MAX_CONNECTIONS: usize = 64;
 /// How long the peer may take to accept one frame.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes queued on one connection. Beyond that it is closed, and its session may be resumed.
+/// Maximum number of bytes queued on one connection. Beyond that, the connection is closed; its session may be resumed.
 const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
-/// The pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Why a connection ended. The text goes to the log.
+/// Why a connection ended. The text is logged.
 #[derive(Debug, Snafu)]
 enum ConnectionEnd {
     #[snafu(display("closed by the peer"))]
@@ -47,9 +48,9 @@
 /// The sending side of one connection.
 pub(super) struct Connection {
     outgoing: RefCell<VecDeque<Vec<u8>>>,
-    /// Bytes in `outgoing`, and of the frame that is being written.
+    /// Bytes in `outgoing` and in the frame that is being written.
     queued_bytes: Cell<usize>,
-    /// Set where the connection is to be closed once all frames are written.
+    /// Why the connection is to be closed once all frames are written, if it is.
     close: RefCell<Option<ConnectionEnd>>,
     /// Wakes the connection's task.
     wake: Notify,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Queues a frame. A peer that lets too many bytes wait is disconnected.
+    /// Queues a frame. A peer with more than [`MAX_QUEUED_BYTES`] queued is disconnected.
     fn queue(&self, bytes: Vec<u8>) {
         let queued_bytes = self.queued_bytes.get() + bytes.len();
         self.queued_bytes.set(queued_bytes);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Serves one connection to its end.
+    /// Serves one connection until it ends.
     async fn serve(self, mut stream: TcpStream, address: SocketAddr) {
         stream.set_nodelay(true).ok();
         let number = self.0.last_connection.get() + 1;
@@ -133,7 +134,7 @@
             .insert(id, connection.clone());
         self.act(|server, now, actions| server.on_accepted(now, id, actions));
         let cause = self.exchange(&mut stream, id, &connection).await;
-        // The only place that releases a connection.
+        // Connections are removed only here.
         self.0.connections.borrow_mut().remove(&id);
         self.act(|server, now, _| server.on_disconnected(now, id));
         if let Some(suppressed) = self.0.log_lines.admit() {
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Writes and reads on one connection until it ends; returns why it did.
+    /// Writes and reads frames until the connection ends; returns the reason.
     async fn exchange(
         &self,
         stream: &mut TcpStream,
@@ -152,7 +153,7 @@
         let mut received = Vec::new();
         let mut buffer = vec![0; READ_BYTES];
         loop {
-            // All frames are written before the connection is closed, its reason included.
+            // All frames are written before the connection is closed, including the one that states the reason.
             if let Err(end) = connection.write_queued(&mut output).await {
                 return end;
             }
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Passes the complete frames in `received` to the state machine. A frame that cannot be read is rejected, and
-    /// closes the connection.
+    /// Passes the complete frames in `received` to the state machine. If a frame cannot be decoded, the peer is sent
+    /// the reason and the connection is closed.
     fn on_received(&self, id: ConnectionId, connection: &Connection, received: &mut Vec<u8>) {
         let take = |frame| {
             self.act(|server, now, actions| server.on_frame(now, id, frame, actions));
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Queues a frame on a connection, if that is still there.
+    /// Queues a frame on a connection, unless the connection has ended.
     pub(super) fn send(&self, id: ConnectionId, frame: &Frame) {
         if let Some(connection) = self.0.connections.borrow().get(&id) {
             connection.queue(frame.encode());
--- a/crates/linenthread-service/src/frontends/link/mod.rs
+++ b/crates/linenthread-service/src/frontends/link/mod.rs
@@ -1,5 +1,5 @@
-//! The frontend for links: this program as a gateway. A call that arrives over a link goes to the replica that
-//! it names, once, and its outcome back; which replica, and whether to retry, the other side decides.
+//! The gateway, the frontend for links from other sites. A call that arrives over a link is sent to the replica that
+//! it names, once, and its outcome is returned. The peer selects the replica and decides whether to retry.
 //!
 //! The state machine in `linenthread-link` decides on sessions and calls; this module passes inputs to it and
 //! performs its actions.
@@ -24,19 +24,19 @@
 use calls::CallKey;
 use connection::Connection;
 
-/// The longest sleep of the gateway's timer: 10 s.
+/// Maximum sleep of the gateway's timer: 10 s.
 const MAX_SLEEP: TenthMillis = 100_000;
-/// How often a graceful shutdown looks whether all calls are over.
+/// Interval at which a graceful shutdown checks whether all calls are over.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 struct Inner {
     driver: CoordinatorDriver,
     transports: Transports,
     server: RefCell<LinkServer>,
-    /// The share, in thousandths, at which others start to use replicas here.
+    /// The share of a replica's slow-start budget that each peer may use, in thousandths.
     slow_start_share: u16,
     connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
-    /// Calls that run here, each with what cancels it.
+    /// Running calls, each with the notification that cancels it.
     running: RefCell<BTreeMap<CallKey, Rc<Notify>>>,
     last_connection: Cell<u64>,
     /// Wakes the timer's task.
@@ -44,7 +44,7 @@
     log_lines: LogRateLimit,
 }
 
-/// Serves the links of other sites.
+/// Serves links from other sites.
 #[derive(Clone)]
 pub(crate) struct Gateway(Rc<Inner>);
 
@@ -126,7 +126,7 @@
         );
     }
 
-    /// Announces what can be reached from here, whenever that changes.
+    /// Announces the replicas that the service discovery lists to the peers, at the start and after each change.
     async fn announce_members(&self) {
         loop {
             let members = self
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Calls the state machine when it wants to be.
+    /// Calls the state machine whenever one of its time-outs has passed.
     async fn run_timer(&self) {
         loop {
             tokio::select! {
@@ -160,8 +160,8 @@
         clock.at(next.min(clock.now() + MAX_SLEEP))
     }
 
-    /// Shuts down gracefully: accepts no new calls, and waits until the outcomes of those that run are delivered,
-    /// for this time at most.
+    /// Shuts down gracefully: accepts no new calls, and waits until the outcomes of the running calls are delivered,
+    /// but for at most `max_wait`.
     pub(crate) async fn drain(&self, max_wait: Duration) {
         self.act(|server, _, actions| server.start_draining(actions));
         let drained = async {
--- a/crates/linenthread-service/src/frontends/mod.rs
+++ b/crates/linenthread-service/src/frontends/mod.rs
@@ -1,5 +1,5 @@
-//! The protocols that clients speak, one module each. A frontend decodes a request, runs its query and encodes the
-//! outcome; it knows nothing of how sub-requests travel.
+//! Client protocols, one module each. A frontend decodes a request, runs its query and encodes the outcome,
+//! independent of how sub-requests are sent to replicas.
 
 pub(crate) mod http;
 pub(crate) mod link;
