--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -1,4 +1,4 @@
-//! What every transport takes and reports: one attempt at a sub-request, and how it ended.
+//! Types that all transports share: attempts at sub-requests, probes and their outcomes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,13 +21,13 @@
 /// The outcome of one attempt, reported to the task of its query.
 #[derive(Debug)]
 pub struct FinishedAttempt {
-    /// Which attempt it is.
+    /// Identifies the attempt.
     pub key: AttemptKey,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The queue depth that the replica reported.
+    /// The queue depth that the replica reported, if it did.
     pub queue_depth: Option<f64>,
-    /// Empty unless the attempt succeeded.
+    /// The value in the response; empty unless the attempt succeeded.
     pub value: String,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reports the outcome of one attempt, once it has one, to the task of its query.
+/// Reports the outcome of one attempt to the task of its query.
 pub(crate) struct OutcomeReporter {
     key: AttemptKey,
     outcomes: OutcomeSender,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Reports what a response brought.
+    /// Reports the contents of a response.
     pub(crate) fn report(self, outcome: AttemptOutcome, queue_depth: Option<f64>, value: String) {
         let finished = FinishedAttempt {
             key: self.key,
@@ -64,11 +64,11 @@
             queue_depth,
             value,
         };
-        // A query that has ended needs no outcome.
+        // Sending fails once the query has ended and needs no more outcomes.
         self.outcomes.send(finished).ok();
     }
 
-    /// Reports the end of an attempt that has no response.
+    /// Reports the outcome of an attempt that ended without a response.
     pub(crate) fn report_without_response(self, outcome: AttemptOutcome) {
         let finished = FinishedAttempt::without_value(self.key, outcome);
         self.outcomes.send(finished).ok();
@@ -78,9 +78,8 @@
 /// The outcome of one probe of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeReport {
-    /// How it ended.
     pub outcome: AttemptOutcome,
-    /// The queue depth that the replica reported.
+    /// The queue depth that the replica reported, if it did.
     pub queue_depth: Option<f64>,
 }
 
@@ -93,7 +92,7 @@
     }
 }
 
-/// Reports sub-requests that never left this process; none of them is in flight.
+/// Reports all sub-requests as not sent. Returns `None` for each of them, as none is in flight.
 pub(crate) fn report_not_sent<T>(
     sub_requests: &[OutgoingSubRequest],
     outcomes: &OutcomeSender,
@@ -108,31 +107,32 @@
 /// One attempt at a sub-request, ready to be sent.
 #[derive(Clone, Debug)]
 pub struct OutgoingSubRequest {
-    /// Which attempt it is.
+    /// Identifies the attempt.
     pub key: AttemptKey,
-    /// The shard that it is for.
+    /// The shard to be searched.
     pub shard: usize,
-    /// How many continuations of this sub-request came before.
+    /// Number of earlier continuations of this sub-request.
     pub continuation: u32,
-    /// What the replica is asked.
+    /// The text of the request.
     pub text: Rc<str>,
-    /// The value of its query, in thousandths: a link that is short of credit sends the highest first.
+    /// The value of its query, in thousandths. A link that is short of credit sends the calls of highest value first.
     pub priority: u32,
 }
 
-/// How connections to replicas are used.
+/// Settings for connections to replicas.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionConfig {
-    /// Attempts in flight on one connection.
+    /// Maximum number of attempts and probes in flight on one connection. More than that in one frame are sent on a
+    /// connection with nothing in flight.
     pub max_streams: usize,
-    /// Replicas are sent cancellations.
+    /// Whether cancellations are sent to replicas.
     pub sends_cancellations: bool,
-    /// How long a connect may take.
+    /// How long a connect may take, and how long a frame may take to arrive completely.
     pub connect_timeout: Duration,
     /// How long the response to a probe may take.
     pub probe_timeout: Duration,
     /// An idle connection is closed after this time, which is shorter than the replica's own.
     pub idle_timeout: Duration,
-    /// Connections to all replicas together.
+    /// Maximum number of connections to all replicas together.
     pub max_connections: usize,
 }
--- a/crates/linenthread-service/src/transports/connection/error.rs
+++ b/crates/linenthread-service/src/transports/connection/error.rs
@@ -1,11 +1,11 @@
-//! Why connections to replicas fail.
+//! Errors of connections to replicas.
 
 use std::io;
 
 use linenthread_protocol::frame;
 use snafu::Snafu;
 
-/// Why a connection failed. The text goes to the log.
+/// Why a connection failed. The text is logged.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub(in crate::transports) enum ConnectionError {
@@ -17,8 +17,8 @@
     Closed,
     #[snafu(display("{source}"))]
     Io { source: io::Error },
-    /// The replica keeps to the protocol, says that a frame was of no use to it, but not which one, and closes the
-    /// connection. So this is a lost connection and no violation: what was written may have run or not.
+    /// The replica reports that it cannot use a frame, without saying which, and closes the connection. The protocol
+    /// allows this, so it is a lost connection and not a violation: what was written may or may not have run.
     #[snafu(display("the replica rejected a frame: {message}"))]
     FrameRejected { message: String },
     #[snafu(display("{source}"))]
@@ -33,17 +33,17 @@
     UnknownResponse,
 }
 
-/// How a connection has ended: what is in flight on it ends accordingly.
+/// How a connection has ended, which determines the outcomes of what was in flight on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::transports) enum ConnectionEnd {
-    /// It was closed or lost, or never made.
+    /// The connection was closed or lost, or never established.
     Lost,
-    /// The replica broke the protocol: it runs, and has run what was sent, but the connection is of no more use.
+    /// The replica violated the protocol: it is running and has received what was sent, but the connection is unusable.
     ProtocolViolated,
 }
 
 impl ConnectionError {
-    /// What the error says of the replica.
+    /// Returns whether the error is a violation of the protocol by the replica, or the loss of the connection.
     pub(in crate::transports) fn end(&self) -> ConnectionEnd {
         match self {
             ConnectionError::Connect { .. }
--- a/crates/linenthread-service/src/transports/connection/exchange.rs
+++ b/crates/linenthread-service/src/transports/connection/exchange.rs
@@ -1,4 +1,4 @@
-//! The task of a connection: writes frames, reads messages, and notices when the connection is of no more use.
+//! The task of a connection: writes frames, reads messages, and detects when the connection is no longer usable.
 
 use std::io;
 use std::time::Duration;
@@ -15,20 +15,20 @@
 use super::{Connection, ConnectionError};
 use crate::transports::attempt::ConnectionConfig;
 
-/// After this idle time the replica may have closed the connection unnoticed: the last byte of the next request is
-/// delayed, so that a dead connection breaks before the request can run.
+/// After this idle time, the replica may have closed the connection without this side having noticed. The last byte of
+/// the next request is then delayed, so that a dead connection fails before the request can run.
 const IDLE_BEFORE_DELAY: Duration = Duration::from_millis(50);
 /// The size of one read, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// What one turn of the connection's task ended with.
+/// Whether a connection continues after a read.
 enum Turn {
     Continue,
-    /// Nothing is in flight and the connection is not wanted any more.
+    /// The replica has closed the connection while it was idle.
     Closed,
 }
 
-/// What was read and not yet decoded, and when there was traffic.
+/// Input that is not decoded yet, and the times of recent traffic.
 struct ReadState {
     buffer: BytesMut,
     /// When bytes were last read or written.
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// Why the connection ended while it was still wanted.
+    /// Returns why the connection failed. It has not failed if either side closed it while it was idle.
     pub(in crate::transports) async fn exchange(
         &self,
         mut stream: TcpStream,
@@ -85,7 +85,7 @@
                 }
                 () = sleep_until(last_byte_at.unwrap_or(read.last_active)), if last_byte_at.is_some() => {}
                 () = self.wake.notified() => {}
-                // A frame takes no longer than a connect: one that does will never be complete.
+                // A frame that takes longer than a connect may take is assumed to remain incomplete.
                 () = sleep_until(read.frame_started_at + config.connect_timeout), if !read.buffer.is_empty() => {
                     return IncompleteFrameSnafu.fail();
                 }
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The next frame to write, on a connection that was last active then.
+    /// Takes the next frame to write; `last_active` is when bytes were last read or written.
     fn next_frame(&self, last_active: Instant) -> Option<FrameWriter> {
         let frame = self.outgoing.borrow_mut().pop_front()?;
         let delays_last_byte = matches!(frame.contents, FrameContents::Requests(_))
@@ -103,7 +103,7 @@
         Some(FrameWriter::new(frame, delays_last_byte))
     }
 
-    /// Handles what was read; `is_idle` says that nothing was in flight or being written.
+    /// Handles the result of a read; `is_idle` states whether nothing was in flight or being written.
     fn on_read(
         &self,
         count: io::Result<usize>,
@@ -119,7 +119,7 @@
         read.last_active = Instant::now();
         while let Some(message) = frame::decode(&mut read.buffer).context(DecodeSnafu)? {
             read.frame_started_at = read.last_active;
-            // Only complete frames show that the replica is responsive.
+            // Only a complete frame shows that the replica is responsive.
             self.last_read.set(read.last_active);
             self.is_established.set(true);
             self.is_silent.set(false);
--- a/crates/linenthread-service/src/transports/connection/frame_writer.rs
+++ b/crates/linenthread-service/src/transports/connection/frame_writer.rs
@@ -1,4 +1,4 @@
-//! Writes frames, and delays the last byte of those that a dead connection must not lose.
+//! Frames to be written, and the delay of a request's last byte on a connection that may be dead.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::AttemptNumber;
 
-/// How long the last byte of a request is held back on a connection that was idle.
+/// How long the last byte of a request is delayed on a connection that was idle.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 
 /// A frame to be written.
@@ -15,7 +15,6 @@
     pub(super) contents: FrameContents,
 }
 
-/// What a frame has in it.
 pub(super) enum FrameContents {
     Requests(Vec<SentAttempt>),
     Cancellation,
@@ -30,7 +29,7 @@
 }
 
 impl OutgoingFrame {
-    /// Whether it has nothing in it but this attempt.
+    /// Whether the frame contains only this attempt.
     pub(super) fn is_only_for(&self, number: AttemptNumber) -> bool {
         match &self.contents {
             FrameContents::Requests(sent) => sent.len() == 1 && sent[0].number == number,
@@ -39,10 +38,10 @@
     }
 }
 
-/// What may be written of a frame.
+/// The part of a frame that may be written.
 pub(super) struct Writable<'a> {
     pub(super) bytes: &'a [u8],
-    /// When the last byte may follow, while it is held back.
+    /// When the last byte may be written, while it is delayed.
     pub(super) last_byte_at: Option<Instant>,
 }
 
@@ -64,9 +63,9 @@
     pub(super) frame: OutgoingFrame,
     /// Bytes written so far.
     position: usize,
-    /// The last byte follows after a delay.
+    /// Whether the last byte is delayed.
     delays_last_byte: bool,
-    /// When the last byte may follow, once all others are written.
+    /// When a delayed last byte may be written; `None` until all others are written.
     last_byte_at: Option<Instant>,
 }
 
@@ -80,7 +79,7 @@
         }
     }
 
-    /// What may be written now.
+    /// Returns the part of the frame that may be written now.
     pub(super) fn writable(&self) -> Writable<'_> {
         let rest = &self.frame.bytes[self.position..];
         match self.last_byte_at {
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Counts written bytes; returns whether the frame is complete.
+    /// Counts written bytes; returns whether the frame is written completely.
     pub(super) fn advance(&mut self, written: usize) -> bool {
         self.position += written;
         if self.position + 1 == self.frame.bytes.len() {
--- a/crates/linenthread-service/src/transports/connection/in_flight.rs
+++ b/crates/linenthread-service/src/transports/connection/in_flight.rs
@@ -1,4 +1,4 @@
-//! The handle of an attempt in flight, which cancels it when it is dropped.
+//! The handle of an attempt in flight, which cancels the attempt when it is dropped.
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
 }
 
 impl InFlightAttempt {
-    /// Marks the connection as silent where nothing was read since the attempt was sent.
+    /// Marks the connection as unresponsive if no complete frame was read since the attempt was sent.
     pub(crate) fn on_timeout(&self) {
         self.connection.set_silent_since(self.sent);
     }
@@ -37,7 +37,8 @@
         attempts.remove(&self.id);
         connection.remember_finished(&self.id);
         let mut outgoing = connection.outgoing.borrow_mut();
-        // Where nothing else is in its frame and no byte of that is written, the replica need not know of it.
+        // If its frame contains nothing else and no byte of it is written, the frame is dropped and the replica is not
+        // sent a cancellation.
         let is_alone = |frame: &OutgoingFrame| frame.is_only_for(self.number);
         match outgoing.iter().position(is_alone) {
             Some(unwritten) => drop(outgoing.remove(unwritten)),
--- a/crates/linenthread-service/src/transports/connection/messages.rs
+++ b/crates/linenthread-service/src/transports/connection/messages.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts and probes in flight: a message of the replica ends one, the end of the connection all.
+//! Ends attempts and probes in flight: a message from the replica ends one, the end of the connection ends all.
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_protocol::frame::ReplicaMessage;
@@ -10,7 +10,7 @@
 use crate::transports::attempt::ProbeReport;
 
 impl Connection {
-    /// The last byte of a frame is written: what it requests may run from now on.
+    /// Records that a frame is written completely. From now on, the requests in it may run.
     pub(super) fn on_written(&self, frame: &OutgoingFrame) {
         match &frame.contents {
             FrameContents::Requests(sent) => {
@@ -34,11 +34,11 @@
         }
     }
 
-    /// Ends what the message answers.
+    /// Ends the attempt or probe that the message answers.
     ///
     /// # Errors
     ///
-    /// The replica answers what was not requested, or says that it could not use a frame.
+    /// Fails if the replica responds to a sub-request that it was not sent, or reports that it rejected a frame.
     pub(super) fn on_message(&self, message: ReplicaMessage) -> Result<(), ConnectionError> {
         match message {
             ReplicaMessage::Response {
@@ -51,7 +51,7 @@
                 outcome,
                 queue_depth,
             } => {
-                // One that was not requested, or not yet, is ignored.
+                // A response to a probe that was not sent, or not completely yet, is ignored.
                 let mut probes = self.probes.borrow_mut();
                 let is_complete =
                     |probe: &mut PendingProbe| probe.progress == WriteProgress::Complete;
@@ -90,11 +90,11 @@
         } else if !self.finished_ids.borrow().contains(&hash_id(id)) {
             return UnknownResponseSnafu.fail();
         }
-        // A late or duplicate response to what was cancelled or completed before is dropped.
+        // A late or duplicate response to a sub-request that was cancelled or completed before is ignored.
         Ok(())
     }
 
-    /// Ends all that is in flight, as the connection is gone.
+    /// Ends all attempts and probes in flight, after the connection has ended.
     pub(in crate::transports) fn end_all(&self, end: ConnectionEnd) {
         let outcome = |progress: WriteProgress| self.outcome_at_end(progress, end);
         for pending in std::mem::take(&mut *self.attempts.borrow_mut()).into_values() {
@@ -108,18 +108,18 @@
         self.outgoing.borrow_mut().clear();
     }
 
-    /// The outcome of what was in flight when the connection ended.
+    /// The outcome of an attempt or a probe that was in flight when the connection ended.
     fn outcome_at_end(&self, progress: WriteProgress, end: ConnectionEnd) -> AttemptOutcome {
         match (progress, end) {
-            // The replica may have run it or not.
+            // The replica may or may not have run it.
             (WriteProgress::Complete, ConnectionEnd::Lost) => AttemptOutcome::ConnectionLost,
-            // The replica runs, and has received it.
+            // The replica is running and has received it.
             (WriteProgress::Complete, ConnectionEnd::ProtocolViolated) => AttemptOutcome::Error,
             // The replica has never sent a frame on this connection: it may be down.
             (WriteProgress::Incomplete, ConnectionEnd::Lost) if !self.is_established.get() => {
                 AttemptOutcome::ConnectFailed
             }
-            // The replica has responded on this connection, rightly or not: the loss says nothing against it.
+            // The replica has sent data on this connection, valid or not: the loss is no sign that it is down.
             (WriteProgress::Incomplete, ConnectionEnd::Lost | ConnectionEnd::ProtocolViolated) => {
                 AttemptOutcome::NotSent
             }
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -24,31 +24,31 @@
 use frame_writer::{FrameContents, OutgoingFrame, SentAttempt};
 pub(crate) use in_flight::InFlightAttempt;
 
-/// Ids of finished sub-requests that are remembered, to recognise their late or duplicate responses.
+/// Maximum number of ids of finished sub-requests that are kept, to recognise late and duplicate responses.
 const MAX_REMEMBERED_IDS: usize = 512;
 
-/// A number that is unique among all attempts of the process, while the id of a sub-request is used again when it is
-/// retried.
+/// A number that is unique among all attempts of the process, unlike the id of a sub-request, which is reused when the
+/// sub-request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::transports) struct AttemptNumber(pub(in crate::transports) u64);
 
-/// How far the frame of an attempt or a probe has come.
+/// Whether the frame of an attempt or a probe is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteProgress {
-    /// It waits, or some of it is written: the replica cannot act on it.
+    /// The frame is queued or partly written: the replica cannot act on it.
     Incomplete,
-    /// It is written completely: what it requests may run.
+    /// The frame is written completely: the replica may have run what it requests.
     Complete,
 }
 
-/// An attempt that waits for its response.
+/// An attempt without a response so far.
 struct PendingAttempt {
     number: AttemptNumber,
     progress: WriteProgress,
     reporter: OutcomeReporter,
 }
 
-/// A probe that waits for its response.
+/// A probe without a response so far.
 struct PendingProbe {
     progress: WriteProgress,
     report: oneshot::Sender<ProbeReport>,
@@ -63,18 +63,18 @@
     /// By sub-request id.
     attempts: RefCell<BTreeMap<String, PendingAttempt>>,
     probes: RefCell<VecDeque<PendingProbe>>,
-    /// Hashes of the ids of sub-requests that finished here, the oldest first.
+    /// Hashes of the ids of sub-requests that finished on this connection, the oldest first.
     finished_ids: RefCell<VecDeque<u64>>,
     /// Wakes the connection's task.
     wake: Notify,
     last_read: Cell<Instant>,
-    /// A complete frame was read.
+    /// Whether a complete frame was read.
     is_established: Cell<bool>,
-    /// Some of a frame was read, and the rest not yet.
+    /// Whether a frame was read in part.
     is_mid_frame: Cell<bool>,
-    /// Nothing was read for the whole time-out of a request: no new request is sent until something is.
+    /// Whether no complete frame was read during the whole time-out of a request; no new request is sent until one is.
     is_silent: Cell<bool>,
-    /// It closes once nothing is in flight.
+    /// Whether the connection closes once nothing is in flight.
     is_retired: Cell<bool>,
 }
 
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Queues sub-requests as one frame; `next_number` numbers the attempts. `ids` are theirs, in order.
+    /// Queues sub-requests as one frame. `ids` are the ids of the sub-requests, in the same order, and `next_number`
+    /// numbers the attempts.
     pub(in crate::transports) fn send(
         self: &Rc<Self>,
         ids: Vec<String>,
@@ -138,7 +139,7 @@
         in_flight
     }
 
-    /// Adds an attempt to those that wait for a response.
+    /// Adds an attempt that awaits its response.
     fn register(
         self: &Rc<Self>,
         id: String,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Queues a probe.
+    /// Queues a probe; its report goes to the returned receiver.
     pub(in crate::transports) fn send_probe(&self) -> oneshot::Receiver<ProbeReport> {
         let (report, response) = oneshot::channel();
         self.probes.borrow_mut().push_back(PendingProbe {
@@ -174,13 +175,13 @@
         response
     }
 
-    /// Takes no more requests, and closes once nothing is in flight.
+    /// Stops taking requests, and closes the connection once nothing is in flight.
     pub(in crate::transports) fn retire(&self) {
         self.is_retired.set(true);
         self.wake.notify_one();
     }
 
-    /// Marks the connection as silent where nothing was read since then.
+    /// Marks the connection as unresponsive if no complete frame was read since `sent`.
     pub(in crate::transports) fn set_silent_since(&self, sent: Instant) {
         if self.last_read.get() < sent && !self.is_silent.replace(true) {
             info!(address = %self.address, "replica connection timed out, no longer used for new requests");
@@ -188,23 +189,23 @@
         }
     }
 
-    /// Attempts and probes that wait for a response.
+    /// Returns the number of attempts and probes that await a response.
     pub(in crate::transports) fn in_flight(&self) -> usize {
         self.attempts.borrow().len() + self.probes.borrow().len()
     }
 
-    /// Attempts that wait for a response.
+    /// Returns the number of attempts that await a response.
     pub(in crate::transports) fn attempts_in_flight(&self) -> usize {
         self.attempts.borrow().len()
     }
 
-    /// Whether an attempt with one of these ids is in flight.
+    /// Returns whether an attempt with one of these ids is in flight.
     pub(in crate::transports) fn has_any(&self, ids: &[String]) -> bool {
         let attempts = self.attempts.borrow();
         ids.iter().any(|id| attempts.contains_key(id))
     }
 
-    /// Whether it takes requests.
+    /// Returns whether the connection takes new requests.
     pub(in crate::transports) fn is_usable(&self) -> bool {
         !self.is_silent.get() && !self.is_retired.get()
     }
@@ -217,7 +218,7 @@
         self.last_read.get()
     }
 
-    /// Nothing is in flight and nothing is to be written.
+    /// Whether nothing is in flight and no frame is queued.
     fn is_empty(&self) -> bool {
         self.in_flight() == 0 && self.outgoing.borrow().is_empty()
     }
--- a/crates/linenthread-service/src/transports/link/connection.rs
+++ b/crates/linenthread-service/src/transports/link/connection.rs
@@ -1,4 +1,4 @@
-//! The task of a link: connects, writes and reads frames, and keeps the state machine's timers.
+//! The task of a link: connects, writes and reads frames, and runs the state machine's timers.
 
 use std::io;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 const READ_BYTES: usize = 32 * 1024;
 /// How long a connect to a gateway may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The longest sleep of the link's task: 10 s.
+/// Maximum sleep of the link's task: 10 s.
 const MAX_SLEEP: TenthMillis = 100_000;
 
-/// Why a link's connection ended. The text goes to the log.
+/// Why a link's connection ended. The text is logged.
 #[derive(Debug, Snafu)]
 enum LinkError {
     #[snafu(display("cannot connect: {source}"))]
@@ -39,7 +39,7 @@
 }
 
 impl Peer {
-    /// Connects when the state machine wants to, for as long as the program runs.
+    /// Connects whenever the state machine requests it, for as long as the program runs.
     pub(super) async fn run(self) {
         loop {
             tokio::select! {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// When the state machine wants to be called next.
+    /// Returns the next time-out of the state machine, at most [`MAX_SLEEP`] from now.
     fn next_timeout(&self) -> Instant {
         let next = self.0.client.borrow().next_timeout();
         self.0.clock.at(next.min(self.0.clock.now() + MAX_SLEEP))
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Writes and reads on one connection until it ends; returns why it did.
+    /// Writes and reads frames until the connection ends; returns the reason.
     async fn exchange(&self, mut stream: TcpStream) -> LinkError {
         stream.set_nodelay(true).ok();
         self.act(|client, now, _| client.on_connected(now));
@@ -83,7 +83,7 @@
         let mut buffer = vec![0; READ_BYTES];
         let mut writing: Option<FrameWriter> = None;
         loop {
-            // Not a byte more: what was not written completely by now was reported as never sent.
+            // Nothing more is written: calls that were not written completely by now were reported as not sent.
             if let Some(reason) = self.0.close_reason.take() {
                 return LinkError::ClosedHere { reason };
             }
@@ -124,7 +124,7 @@
         })
     }
 
-    /// A frame is written completely: the call in it may run from now on.
+    /// Records that a frame is written completely. From now on, the call in it may run.
     fn on_written(&self, frame: &FrameWriter) {
         if let Some(call) = frame.call {
             self.0.client.borrow_mut().on_call_written(call);
--- a/crates/linenthread-service/src/transports/link/frame_writer.rs
+++ b/crates/linenthread-service/src/transports/link/frame_writer.rs
@@ -1,4 +1,4 @@
-//! A frame of a link on its way into the socket.
+//! Tracks how much of a link's frame is written.
 
 use linenthread_link::{CallNumber, Frame};
 
@@ -7,7 +7,7 @@
     bytes: Vec<u8>,
     /// Bytes written so far.
     position: usize,
-    /// The call that the frame starts.
+    /// The call that the frame starts, if it does.
     pub(super) call: Option<CallNumber>,
 }
 
@@ -28,7 +28,7 @@
         &self.bytes[self.position..]
     }
 
-    /// Counts written bytes; returns whether the frame is complete.
+    /// Counts written bytes; returns whether the frame is written completely.
     pub(super) fn advance(&mut self, written: usize) -> bool {
         self.position += written;
         self.position == self.bytes.len()
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -1,5 +1,5 @@
-//! Links to gateways: sub-requests to replicas that only a gateway in another site reaches. The state machine
-//! in `linenthread-link` decides; this module passes inputs to it and performs its actions.
+//! Links to gateways, which carry sub-requests to replicas that only a gateway in another site can reach. The state
+//! machine in `linenthread-link` makes the decisions; this module passes inputs to it and performs its actions.
 
 mod connection;
 mod frame_writer;
@@ -24,11 +24,11 @@
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{OutcomeReporter, OutcomeSender, OutgoingSubRequest, ProbeReport};
 
-/// A change of what a link reaches.
+/// A change of the replicas behind a link, or of the link's availability.
 pub(crate) enum LinkEvent {
     /// The replicas behind the link have changed.
     Members(MembersReport),
-    /// Whether the link accepts calls has changed.
+    /// The link has started or stopped accepting calls.
     Availability(LinkAvailability),
 }
 
@@ -37,13 +37,13 @@
     address: SocketAddr,
     clock: Clock,
     client: RefCell<LinkClient>,
-    /// Calls that wait for their outcome.
+    /// Calls that have no outcome yet.
     calls: RefCell<BTreeMap<CallId, OutcomeReporter>>,
     probes: RefCell<BTreeMap<ProbeId, oneshot::Sender<ProbeReport>>>,
     outgoing: RefCell<VecDeque<Frame>>,
-    /// The client wants to connect.
+    /// Whether the state machine has requested a connect.
     connect_requested: Cell<bool>,
-    /// The client wants to close the connection.
+    /// Why the state machine has requested to close the connection, if it has.
     close_reason: RefCell<Option<ClientCloseReason>>,
     /// Wakes the link's task.
     wake: Notify,
@@ -62,8 +62,11 @@
 }
 
 impl InFlightAttempt {
-    /// Nothing: a link judges its connection by heartbeats, and not by its calls.
-    #[expect(clippy::unused_self, reason = "attempts of both kinds are told")]
+    /// Does nothing: a link monitors its connection by heartbeats and not by the time-outs of calls.
+    #[expect(
+        clippy::unused_self,
+        reason = "same interface as an attempt on a direct connection"
+    )]
     pub(in crate::transports) fn on_timeout(&self) {}
 }
 
@@ -84,12 +87,12 @@
     pub address: SocketAddr,
     pub secrets: Secrets,
     pub client: ClientConfig,
-    /// The seed of the reconnects' random delays.
+    /// The seed of the random delays before reconnects.
     pub seed: u64,
 }
 
 impl Peer {
-    /// Starts a link that is kept up from now on, and reports what it reaches to `events`.
+    /// Starts a link, which reconnects whenever it is lost and reports changes to `events`.
     pub(crate) fn start(
         config: LinkConfig,
         clock: Clock,
@@ -113,7 +116,7 @@
         peer
     }
 
-    /// Whether the link is usable, and its capacity.
+    /// Returns whether the link is usable, and its capacity.
     pub(crate) fn status(&self) -> LinkStatus {
         self.0.client.borrow().status()
     }
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Reports a change to the log and to the coordinator driver.
+    /// Logs a change of availability and reports it to the coordinator driver.
     fn report_availability(&self, availability: LinkAvailability) {
         match availability {
             LinkAvailability::Up => info!(peer = self.0.name, "link up"),
@@ -179,7 +182,7 @@
         self.0.events.send(event).ok();
     }
 
-    /// Sends sub-requests of one query to one replica, each as a call of its own.
+    /// Sends sub-requests of one query to one replica, each as a separate call.
     pub(crate) fn send(
         &self,
         replica_id: &str,
@@ -210,7 +213,7 @@
         outcomes: &OutcomeSender,
     ) -> InFlightAttempt {
         let mut id = CallId(0);
-        // The call may complete at once: it is registered before its actions are performed.
+        // The call may complete at once, so it is registered before the actions are performed.
         self.act(|client, now, actions| {
             id = client.call(now, call, deadline, outgoing.priority, actions);
             let reporter = OutcomeReporter::new(outgoing.key, outcomes);
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Probes a replica behind the link for its health and load.
+    /// Probes the health and load of a replica behind the link.
     pub(crate) async fn probe(&self, replica_id: &str, wait: Duration) -> ProbeReport {
         let (report, response) = oneshot::channel();
         self.act(|client, _, actions| {
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -1,5 +1,5 @@
-//! The ways on which sub-requests travel to replicas. A transport ends each attempt exactly once, and its outcome
-//! says honestly whether the attempt ran, may have run, or was never sent.
+//! The transports that carry sub-requests to replicas: direct connections, and links to gateways. A transport ends each
+//! attempt exactly once, with an outcome that states whether the attempt ran, may have run, or was never sent.
 
 pub mod attempt;
 mod connection;
@@ -21,18 +21,18 @@
 /// How a replica is reached.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Route {
-    /// By a connection to it.
+    /// Over a connection to this address.
     Direct(SocketAddr),
-    /// Over the links of one of these peers.
+    /// Over the link to one of these peers.
     ViaLink {
-        /// The peers' numbers.
+        /// The peers by number, in the order in which their links were added.
         peers: Vec<usize>,
-        /// The replica's id, by which the gateway knows it.
+        /// The replica's id, which identifies it to the gateway.
         replica_id: Rc<str>,
     },
 }
 
-/// All replicas, however they are reached.
+/// The routes to all replicas, direct or over links, and the attempts on them. Clones share their state.
 #[derive(Clone)]
 pub struct Transports(Rc<Inner>);
 
@@ -61,14 +61,13 @@
 /// An attempt in flight at a replica. Dropping it cancels the attempt, unless it has finished.
 pub struct InFlightAttempt(AttemptOn);
 
-/// An attempt by what it travels on.
 enum AttemptOn {
     Connection(connection::InFlightAttempt),
     Link(link::InFlightAttempt),
 }
 
 impl InFlightAttempt {
-    /// The attempt has run out of time, which may say something of what it travels on.
+    /// Handles the time-out of the attempt, which may show that its connection is unresponsive.
     pub(crate) fn on_timeout(&self) {
         match &self.0 {
             AttemptOn::Connection(attempt) => attempt.on_timeout(),
@@ -78,7 +77,7 @@
 }
 
 impl Transports {
-    /// No replica has a route at first.
+    /// Creates the transports without a route to any replica; [`set_route`](Self::set_route) adds them.
     pub fn new(config: ConnectionConfig) -> Self {
         Transports(Rc::new(Inner {
             direct: ReplicaConnections::new(config),
@@ -88,19 +87,19 @@
         }))
     }
 
-    /// Adds a peer's link; returns its number.
+    /// Adds a peer's link; returns the peer's number.
     pub(crate) fn add_peer(&self, peer: link::Peer) -> usize {
         self.0.peers.borrow_mut().push(peer);
         self.0.peers.borrow().len() - 1
     }
 
-    /// Closes the connections to a replica on which nothing is in flight. A link judges its own connection by
-    /// heartbeats.
+    /// Closes the direct connections to a replica on which nothing is in flight. Links are not affected, as they
+    /// monitor their connections by heartbeats.
     pub(crate) fn close_idle(&self, replica: ReplicaIndex) {
         self.0.direct.close_idle(replica);
     }
 
-    /// Sets how a replica is reached from now on.
+    /// Sets the route of all later requests to a replica; with `None`, they are not sent.
     pub fn set_route(&self, replica: ReplicaIndex, route: Option<Route>) {
         let mut remote = self.0.remote.borrow_mut();
         remote.remove(&replica);
@@ -120,18 +119,18 @@
         self.0.direct.set_address(replica, address);
     }
 
-    /// Whether a replica is not reached over a link: what arrives over a link is never sent over another.
+    /// Returns whether a replica is not reached over a link. What arrives over a link is never sent over another.
     pub(crate) fn is_direct(&self, replica: ReplicaIndex) -> bool {
         !self.0.remote.borrow().contains_key(&replica)
     }
 
-    /// Whether a replica has neither a route nor a connection: its index may be reused.
+    /// Returns whether a replica has neither a route nor a connection, so that its index may be reused.
     pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         self.is_direct(replica) && self.0.direct.is_vacant(replica)
     }
 
-    /// Sends sub-requests of one query to one replica. Those that cannot be sent are reported as such, and are
-    /// not in flight.
+    /// Sends sub-requests of one query to one replica, which has `wait_ms` to respond. Those that cannot be sent are
+    /// reported to `outcomes` as not sent, and `None` is returned for each.
     pub fn send(
         &self,
         replica: ReplicaIndex,
@@ -162,7 +161,7 @@
             .collect()
     }
 
-    /// Probes a replica for its health and load.
+    /// Probes a replica's health and load.
     pub(crate) async fn probe(&self, replica: ReplicaIndex) -> ProbeReport {
         match self.select_link(replica) {
             Some(SelectedLink {
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Selects a link to a replica; `None` where it is reached directly.
+    /// Selects a link to a replica; returns `None` if the replica is reached directly.
     fn select_link(&self, replica: ReplicaIndex) -> Option<SelectedLink> {
         let mut remote = self.0.remote.borrow_mut();
         let RemoteReplica {
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to replicas that are reached directly. Owns every connection and bounds their number.
+//! The pool of connections to replicas that are reached directly. It owns all connections and limits their number.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -19,8 +19,8 @@
     AttemptNumber, Connection, ConnectionEnd, ConnectionError, InFlightAttempt,
 };
 
-/// With fewer connections than this to a replica, each carries one request at a time: a connection that fails
-/// or falls silent then fails few others with it.
+/// With fewer connections than this to a replica, each carries one request frame at a time unless the pool is full, so
+/// that few requests fail along with a connection that is lost or becomes unresponsive.
 const MIN_SHARED_CONNECTIONS: usize = 4;
 
 /// A replica's address and the connections to it.
@@ -28,27 +28,27 @@
 struct Endpoint {
     address: Option<SocketAddr>,
     connections: Vec<Rc<Connection>>,
-    /// The last connect failed: another failure is not logged.
+    /// Whether the last connect failed; if so, another failure is not logged.
     last_connect_failed: bool,
 }
 
 struct Inner {
     config: ConnectionConfig,
-    /// By the index of the replica.
+    /// By replica index.
     endpoints: RefCell<Vec<Endpoint>>,
     connection_count: Cell<usize>,
     next_attempt_number: Cell<u64>,
-    /// Lines on connections that there are too many of.
+    /// For the lines about connections that are not opened because the pool is full.
     full_lines: LogRateLimit,
-    /// Lines on connections that failed.
+    /// For the lines about failed connections.
     failure_lines: LogRateLimit,
 }
 
-/// One of the connections that there may be at once. Dropping it gives it back.
+/// A permit for one of at most `max_connections` connections. Dropping it releases it.
 struct ConnectionPermit(Rc<Inner>);
 
 impl ConnectionPermit {
-    /// `None` where there are as many connections as there may be.
+    /// Returns `None` if the maximum number of connections is reached.
     fn acquire(inner: &Rc<Inner>) -> Option<Self> {
         let count = inner.connection_count.get();
         let has_room = count < inner.config.max_connections;
@@ -82,7 +82,7 @@
         }))
     }
 
-    /// Sets a replica's address; connections to an earlier one close once nothing is in flight on them.
+    /// Sets a replica's address. Connections to its previous address close once nothing is in flight on them.
     pub(crate) fn set_address(&self, replica: ReplicaIndex, address: Option<SocketAddr>) {
         let mut endpoints = self.0.endpoints.borrow_mut();
         let len = endpoints.len().max(replica.0 + 1);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Whether a replica has neither an address nor a connection: its index may be reused.
+    /// Returns whether a replica has neither an address nor a connection, so that its index may be reused.
     pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         let endpoints = self.0.endpoints.borrow();
         endpoints
@@ -105,8 +105,8 @@
             .is_none_or(|endpoint| endpoint.address.is_none() && endpoint.connections.is_empty())
     }
 
-    /// Sends sub-requests of one query to one replica in one frame. Those that cannot be sent are reported as
-    /// such, and are not in flight.
+    /// Sends sub-requests of one query to one replica in one frame. If there is no connection for them, they are
+    /// reported as not sent, and `None` is returned for each.
     pub(crate) fn send(
         &self,
         replica: ReplicaIndex,
@@ -147,7 +147,7 @@
             .for_each(|connection| connection.retire());
     }
 
-    /// Probes a replica for its health and load.
+    /// Probes a replica's health and load.
     pub(crate) async fn probe(&self, replica: ReplicaIndex) -> ProbeReport {
         let Some(connection) = self.connection(replica, 1, |_| true) else {
             return ProbeReport::without_load(AttemptOutcome::NotSent);
@@ -164,7 +164,8 @@
         }
     }
 
-    /// A suitable connection with room for `additional` more requests, or a new one.
+    /// Returns a suitable connection with capacity for `additional` more requests, or a new one; `None` if the replica
+    /// has no address or the pool is full.
     fn connection(
         &self,
         replica: ReplicaIndex,
@@ -180,8 +181,8 @@
             let fits = in_flight == 0 || in_flight + additional <= config.max_streams;
             fits && connection.is_usable() && is_suitable(connection)
         };
-        // The one with the least in flight, as requests pile up on one that is stuck; among equals the one read
-        // from last, so that the others may idle out.
+        // The fewest requests in flight, since requests accumulate on a connection that is stuck. Among equals the
+        // most recently read one, so that the others reach their idle time-out.
         let rank = |connection: &&Rc<Connection>| {
             (
                 connection.is_mid_frame(),
@@ -201,12 +202,12 @@
         self.open(replica, address, endpoint)
     }
 
-    /// Whether there are as many connections as there may be.
+    /// Whether the maximum number of connections is reached.
     fn is_full(&self) -> bool {
         self.0.connection_count.get() >= self.0.config.max_connections
     }
 
-    /// Opens one more connection; `None` where there may be no more.
+    /// Opens one more connection; returns `None` if the maximum number is reached.
     fn open(
         &self,
         replica: ReplicaIndex,
@@ -226,7 +227,7 @@
         Some(connection)
     }
 
-    /// Runs one connection from its connect to its end.
+    /// Connects, and runs the connection until it ends.
     async fn run(self, connection: Rc<Connection>, permit: ConnectionPermit) {
         let config = self.0.config;
         let connected = connect(connection.address, &config).await;
@@ -258,7 +259,7 @@
         connection.end_all(end);
     }
 
-    /// The only place that removes a connection.
+    /// Removes a connection; connections are removed only here.
     fn remove(&self, connection: &Rc<Connection>) {
         if let Some(endpoint) = self.0.endpoints.borrow_mut().get_mut(connection.replica.0) {
             endpoint
