--- a/crates/linenthread-service/src/coordinator_driver/decision.rs
+++ b/crates/linenthread-service/src/coordinator_driver/decision.rs
@@ -1,4 +1,4 @@
-//! What passes on the decisions of one step.
+//! Dispatches the decisions of one step.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
@@ -11,7 +11,8 @@
 use super::query_table::QueryTable;
 use crate::transports::Transports;
 
-/// Passes on the decisions of one step: those on a query to its task, the others to the driver's own parts.
+/// Dispatches the decisions of one step: those on a query to the query's task, the others to the transports and to
+/// parts of the driver.
 pub(super) struct StepDecisions<'a> {
     pub(super) transports: &'a Transports,
     pub(super) membership_requested: &'a Notify,
--- a/crates/linenthread-service/src/coordinator_driver/membership.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership.rs
@@ -1,4 +1,4 @@
-//! The replicas that are known: those the service discovery lists, and those behind peers' links.
+//! The known replicas: those that the service discovery lists, and those behind peers' links.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 use crate::transports::link::LinkEvent;
 use crate::transports::{Route, Transports};
 
-/// The share of traffic, in thousandths, that a replica is announced with to those behind a link.
+/// The complete slow-start budget of a replica, in thousandths.
 const FULL_SHARE: u16 = 1_000;
 
 /// A replica behind links, as last passed to the coordinator.
@@ -24,19 +24,20 @@
     member: Member,
 }
 
-/// The replicas that are known, and how they are reached.
+/// The known replicas and the routes to them.
 pub(super) struct Membership {
     pub(super) replicas: ReplicaIndices,
     clock: Clock,
     transports: Transports,
     /// The number of replica groups in the layout.
     replica_groups: usize,
-    /// The zones' names; all others are one zone.
+    /// Names of the zones in the order of their numbers. All other names share one further zone.
     zone_names: Vec<String>,
-    /// What the service discovery lists, for those who reach it over a link to this program.
+    /// The replicas that the service discovery lists, by id, to be announced to peers.
     local: BTreeMap<String, Member>,
     /// By the peer's number.
     peers: Vec<PeerMembers>,
+    /// The replicas behind links, by id.
     remote: BTreeMap<String, RemoteReplica>,
 }
 
@@ -79,7 +80,7 @@
             entries.extend(self.apply_listed(listed, submitted));
         }
         if list.complete {
-            // A complete list leaves out what only peers reach.
+            // The service discovery's complete list does not contain the replicas that only peers reach.
             let remote = std::mem::take(&mut self.remote);
             for (id, replica) in &remote {
                 entries.push(self.remote_entry(id, replica));
@@ -90,7 +91,7 @@
         entries
     }
 
-    /// Applies one replica of a list; `None` where it is removed and was never known.
+    /// Applies one replica of a list; returns `None` if it is removed and was never known.
     fn apply_listed(
         &mut self,
         listed: &membership::Member,
@@ -98,7 +99,7 @@
     ) -> Option<MembershipEntry> {
         let is_removed = listed.phase == Phase::Removed;
         self.update_local(listed);
-        // What the service discovery lists is reached directly, whoever else lists it.
+        // A replica that the service discovery lists is reached directly, even if peers list it too.
         self.remote.remove(&listed.id);
         if is_removed && self.replicas.get(&listed.id).is_none() {
             return None;
@@ -125,7 +126,7 @@
         })
     }
 
-    /// Removes the replicas that a complete list does not name.
+    /// Removes the replicas that have no entry, given all entries of a complete list.
     fn remove_unlisted(&mut self, entries: &[MembershipEntry], submitted: u64) {
         let mut is_listed = vec![false; self.replicas.count()];
         for entry in entries {
@@ -146,7 +147,7 @@
         let age_ms = (listed.started_at_ms > 0.0).then(|| {
             let started_at = self.clock.at_unix(listed.started_at_ms);
             let age = (self.clock.now() - started_at).max(0) / 10;
-            // The largest value stands for none on the link.
+            // On the link, `u32::MAX` stands for `None`.
             u32::try_from(age).unwrap_or(u32::MAX).min(u32::MAX - 1)
         });
         let member = Member {
@@ -160,19 +161,19 @@
         self.local.insert(listed.id.clone(), member);
     }
 
-    /// The number of a zone; those that the settings don't name are one.
+    /// The number of a zone. All zones that the settings do not name share one number.
     fn zone(&self, name: &str) -> usize {
         let known = self.zone_names.iter().position(|zone| *zone == name);
         known.unwrap_or(self.zone_names.len())
     }
 
-    /// Adds a peer; returns its number.
+    /// Adds a peer; returns the peer's number.
     pub(super) fn add_peer(&mut self) -> usize {
         self.peers.push(PeerMembers::new());
         self.peers.len() - 1
     }
 
-    /// Records what a peer's link reports.
+    /// Applies an event of a peer's link.
     pub(super) fn on_link_event(&mut self, peer: usize, event: LinkEvent) {
         let Some(peer) = self.peers.get_mut(peer) else {
             return;
@@ -183,8 +184,9 @@
         }
     }
 
-    /// Determines what has changed behind links, for the coordinator. A link that goes down takes all replicas with it
-    /// that no other link reaches, so that the coordinator need not find out about each of them by failed attempts.
+    /// Updates the replicas behind links; returns the changed entries for the coordinator. When a link goes down, all
+    /// replicas that no other link reaches are removed, so that the coordinator need not detect each of them by failed
+    /// attempts.
     pub(super) fn update_remote(&mut self, submitted: u64) -> Vec<MembershipEntry> {
         let current = self.reachable_remote();
         let previous = std::mem::take(&mut self.remote);
@@ -192,7 +194,7 @@
         for (id, replica) in &current {
             match previous.get(id) {
                 Some(known) if known.member == replica.member && known.peers == replica.peers => {}
-                // The coordinator need not know by which peer.
+                // Only the route has changed, which the coordinator does not know.
                 Some(known) if known.member == replica.member => {
                     let index = self.replicas.get_or_assign(id);
                     self.transports
@@ -212,7 +214,7 @@
         entries
     }
 
-    /// The replicas that links reach which are up, other than those that are listed here.
+    /// The replicas behind links that are up, except those that the service discovery lists.
     fn reachable_remote(&self) -> BTreeMap<String, RemoteReplica> {
         let up = || {
             self.peers
@@ -238,7 +240,7 @@
         reachable
     }
 
-    /// The entry of a replica that is reached over links from now on.
+    /// Sets the route to a replica behind links; returns its entry.
     fn remote_entry(&mut self, id: &str, remote: &RemoteReplica) -> MembershipEntry {
         let replica = self.replicas.get_or_assign(id);
         self.replicas.set_listed(replica);
@@ -247,7 +249,7 @@
         self.entry(replica, id, &remote.member)
     }
 
-    /// The entry of a replica that no link reaches any more.
+    /// Removes a replica that no link reaches any more; returns its entry.
     fn removed_remote_entry(
         &mut self,
         id: &str,
@@ -263,7 +265,7 @@
         }
     }
 
-    /// What a gateway reports of a replica, for the coordinator.
+    /// Converts a gateway's report of a replica to an entry for the coordinator.
     fn entry(&self, replica: ReplicaIndex, id: &str, member: &Member) -> MembershipEntry {
         let age = |age_ms| TenthMillis::from(age_ms) * 10;
         MembershipEntry {
@@ -277,12 +279,12 @@
         }
     }
 
-    /// What the service discovery lists.
+    /// Returns the replicas that the service discovery lists.
     pub(super) fn local_members(&self) -> Vec<Member> {
         self.local.values().cloned().collect()
     }
 
-    /// The index of a listed replica that is reached directly.
+    /// Returns the index of a replica that the service discovery lists and that is reached directly.
     pub(super) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
         let replica = self.replicas.get(id)?;
         let is_direct = self.local.contains_key(id) && self.transports.is_direct(replica);
@@ -297,7 +299,7 @@
     }
 }
 
-/// The index of a replica group; every group that a gateway may report has one.
+/// Converts a replica group's number to its index. The numbers of valid members always fit.
 fn group_index(replica_group: u32) -> usize {
     usize::try_from(replica_group).unwrap_or(usize::MAX)
 }
--- a/crates/linenthread-service/src/coordinator_driver/membership_updates.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership_updates.rs
@@ -1,5 +1,5 @@
-//! The driver's part in membership: lists of the service discovery and reports of links go to the coordinator, and
-//! what is reached from here to those behind a link.
+//! The driver's part in membership: passes the service discovery's lists and the links' reports to the coordinator, and
+//! provides the members that the gateway announces to its peers.
 
 use linenthread_core::interface::{MembershipEntry, MembershipUpdate, ReplicaIndex};
 use linenthread_link::Member;
@@ -9,14 +9,14 @@
 use crate::transports::link::LinkEvent;
 
 impl CoordinatorDriver {
-    /// A replica's id, for the log.
+    /// Returns a replica's id for the log; empty if its index is not assigned.
     pub(crate) fn replica_id(&self, replica: ReplicaIndex) -> String {
         let state = self.0.state.borrow();
         let id = state.membership.replicas.id(replica);
         id.unwrap_or_default().to_owned()
     }
 
-    /// An update of the service discovery's list; `None` where it could not be had.
+    /// Handles an update of the service discovery's list; `None` if the list could not be fetched.
     pub(crate) fn on_membership(&self, list: Option<&MembershipList>) {
         self.update_membership(match list {
             None => MembershipUpdate::Unavailable,
@@ -40,17 +40,17 @@
         self.add_input(|inputs| inputs.membership.push(update));
     }
 
-    /// Waits until the coordinator wants the service discovery to be asked.
+    /// Waits until the coordinator requests the service discovery's list.
     pub(crate) async fn membership_requested(&self) {
         self.0.membership_requested.notified().await;
     }
 
-    /// Adds a peer; returns its number.
+    /// Adds a peer; returns the peer's number.
     pub(crate) fn add_peer(&self) -> usize {
         self.0.state.borrow_mut().membership.add_peer()
     }
 
-    /// Handles what a peer's link reports.
+    /// Handles an event of a peer's link.
     pub(crate) fn on_link_event(&self, peer: usize, event: LinkEvent) {
         let mut state = self.0.state.borrow_mut();
         let submitted = state.queries.submitted();
@@ -67,12 +67,12 @@
         self.0.local_changed.notified().await;
     }
 
-    /// What the service discovery lists, for those behind a link.
+    /// Returns the replicas that the service discovery lists, to be announced to peers.
     pub(crate) fn local_members(&self) -> Vec<Member> {
         self.0.state.borrow().membership.local_members()
     }
 
-    /// The index of a listed replica that is reached directly.
+    /// Returns the index of a replica that the service discovery lists and that is reached directly.
     pub(crate) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
         self.0.state.borrow().membership.direct_replica(id)
     }
--- a/crates/linenthread-service/src/coordinator_driver/mod.rs
+++ b/crates/linenthread-service/src/coordinator_driver/mod.rs
@@ -28,17 +28,17 @@
 pub(crate) use query_decision::QueryDecision;
 use query_table::QueryTable;
 
-/// A query to be submitted, checked against the deployment.
+/// A query to be submitted, which has been checked against the deployment.
 pub(crate) struct QuerySubmission {
     /// The search index's position in the settings.
     pub index: usize,
-    /// The customer's position in the settings; 0 where they name none.
+    /// The customer's position in the settings; 0 if they name no customers.
     pub customer: usize,
-    /// The hash of its routing key.
+    /// The hash of the routing key, if the query has one.
     pub key: Option<u64>,
-    /// The hash of its id.
+    /// The hash of the query's id.
     pub sequence_number: u64,
-    /// The time to its hard deadline.
+    /// The time until the query's hard deadline.
     pub expires_in: TenthMillis,
     pub sub_requests: Vec<SubRequestSubmission>,
 }
@@ -46,14 +46,14 @@
 /// A sub-request of a query to be submitted.
 pub(crate) struct SubRequestSubmission {
     pub shard: usize,
-    /// Its share of the query.
+    /// The sub-request's share of the query.
     pub weight: f64,
 }
 
 /// A query that was submitted.
 pub(crate) struct SubmittedQuery {
     pub query: QueryIndex,
-    /// The decisions on it. They end when it is over and none of its attempts is in flight.
+    /// The decisions on the query. The channel closes when the query is over and none of its attempts is in flight.
     pub decisions: mpsc::UnboundedReceiver<QueryDecision>,
 }
 
@@ -63,31 +63,31 @@
     inputs: Inputs,
     queries: QueryTable,
     membership: Membership,
-    /// When the coordinator is to be stepped although there are no inputs.
+    /// When to step the coordinator even if there are no inputs.
     wake_at: Option<TenthMillis>,
-    /// Zones that the fleet decides on in common, if there are any.
+    /// The routing between zones, if a fleet decides on it.
     zones: Option<ZoneRouting>,
 }
 
 struct Inner {
     clock: Clock,
     state: RefCell<State>,
-    /// There are inputs for a step.
+    /// Notified when there are inputs for a step.
     has_input: Notify,
-    /// The coordinator wants the service discovery to be asked.
+    /// Notified when the coordinator requests the service discovery's list.
     membership_requested: Notify,
-    /// The service discovery's list has changed.
+    /// Notified when the service discovery's list has changed.
     local_changed: Notify,
     transports: Transports,
 }
 
-/// Drives the coordinator, the decision module's state machine without I/O: collects its inputs, steps it at the
-/// present instant, and carries out or passes on its decisions. All tasks share it.
+/// Drives the coordinator, the decision module's state machine without I/O: collects its inputs, steps it with the
+/// current time, and performs or dispatches its decisions. All tasks share it.
 #[derive(Clone)]
 pub(crate) struct CoordinatorDriver(Rc<Inner>);
 
 impl CoordinatorDriver {
-    /// `zone_names` are the zones in the order of their numbers; `zones` routes between them, where a fleet decides on
+    /// `zone_names` are the zones in the order of their numbers; `zones` routes between them, if a fleet decides on
     /// that.
     pub(crate) fn new(
         config: &Config,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Passes all inputs so far to the coordinator.
+    /// Steps the coordinator with all inputs so far.
     fn step(&self) {
         let mut state = self.0.state.borrow_mut();
         let State {
@@ -173,7 +173,7 @@
         self.0.has_input.notify_one();
     }
 
-    /// Submits a query to the next step.
+    /// Submits a query, which the next step processes.
     pub(crate) fn submit(&self, submission: QuerySubmission) -> SubmittedQuery {
         let (sender, decisions) = mpsc::unbounded_channel();
         let mut state = self.0.state.borrow_mut();
@@ -201,12 +201,13 @@
         SubmittedQuery { query, decisions }
     }
 
-    /// An attempt has ended.
+    /// Reports the end of an attempt.
     pub(crate) fn report_attempt(&self, result: AttemptResult) {
         self.add_input(|inputs| inputs.results.push(result));
     }
 
-    /// Answered sub-requests of a query need further attempts; called before the step that takes their results.
+    /// Requests further attempts at answered sub-requests of a query. Must be called before the step that processes the
+    /// results of their last attempts.
     pub(crate) fn continue_sub_requests(
         &self,
         query: QueryIndex,
@@ -220,7 +221,7 @@
         });
     }
 
-    /// A query's client has left.
+    /// Cancels a query whose client has disconnected.
     pub(crate) fn abandon(&self, query: QueryIndex) {
         self.add_input(|inputs| inputs.cancelled.push(query));
     }
@@ -240,7 +241,8 @@
     }
 }
 
-/// Empties the inputs, and keeps their memory. Each field is named, so that a new one is not forgotten.
+/// Empties the inputs, and keeps their allocations. All fields are named, so that the compiler reports a new one that
+/// is missing here.
 fn clear(inputs: &mut Inputs) {
     let Inputs {
         now: _,
--- a/crates/linenthread-service/src/coordinator_driver/peer_members.rs
+++ b/crates/linenthread-service/src/coordinator_driver/peer_members.rs
@@ -1,4 +1,4 @@
-//! What one peer's link reaches, as its gateway reports it.
+//! The replicas behind one peer's link, as its gateway reports them.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 use linenthread_protocol::membership::MAX_REPLICAS;
 use tracing::warn;
 
-/// What one peer's link reaches.
+/// The replicas behind one peer's link, and whether the link is up.
 pub(super) struct PeerMembers {
     pub(super) link: LinkAvailability,
     pub(super) by_id: BTreeMap<String, Member>,
 }
 
 impl PeerMembers {
-    /// A link is down until it reports otherwise.
+    /// The link counts as down until it reports otherwise.
     pub(super) fn new() -> Self {
         PeerMembers {
             link: LinkAvailability::Down,
@@ -27,7 +27,7 @@
         self.link == LinkAvailability::Up
     }
 
-    /// Takes in what a gateway reports; invalid members are ignored.
+    /// Applies a gateway's report. Invalid members are ignored.
     pub(super) fn update(&mut self, report: MembersReport, replica_groups: usize) {
         let (is_complete, members) = match report {
             MembersReport::Complete(members) => (true, members),
@@ -46,7 +46,7 @@
         if is_complete {
             self.by_id.clear();
         }
-        // A gateway may list no more than the service discovery; updates of those already listed always count.
+        // The service discovery's limit applies to gateways too. Updates of listed replicas are always applied.
         for member in valid {
             let has_room = self.by_id.len() < MAX_REPLICAS;
             match member.phase {
--- a/crates/linenthread-service/src/coordinator_driver/query_decision.rs
+++ b/crates/linenthread-service/src/coordinator_driver/query_decision.rs
@@ -1,8 +1,8 @@
-//! What the coordinator decides on one query.
+//! The coordinator's decisions on one query.
 
 use linenthread_core::interface::{Completeness, ReplicaIndex, SubRequestIndex, TenthMillis};
 
-/// A decision on one query.
+/// A decision on one query, which the query's task performs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum QueryDecision {
     /// Make the next attempt at a sub-request.
@@ -16,10 +16,10 @@
         sub_request: SubRequestIndex,
         attempt: usize,
     },
-    /// Answer with what has arrived.
+    /// Respond with the results that have arrived.
     Respond { completeness: Completeness },
-    /// Reject the query; it may be retried, after this time where it is given.
+    /// Reject the query. The client may retry it, after `retry_after` if that is given.
     Reject { retry_after: Option<TenthMillis> },
-    /// Answer that the query has failed.
+    /// Respond that the query has failed.
     Fail,
 }
--- a/crates/linenthread-service/src/coordinator_driver/query_table.rs
+++ b/crates/linenthread-service/src/coordinator_driver/query_table.rs
@@ -1,4 +1,4 @@
-//! The open queries: the index by which the coordinator knows each, and where the decisions on it go.
+//! The open queries: the index that identifies each to the coordinator, and the channel for the decisions on it.
 
 use linenthread_core::interface::QueryIndex;
 use tokio::sync::mpsc;
@@ -8,24 +8,26 @@
 /// An open query.
 struct QueryEntry {
     decisions: mpsc::UnboundedSender<QueryDecision>,
-    /// How many queries were submitted before it.
+    /// Number of queries that were submitted before this one.
     submitted_before: u64,
 }
 
-/// How many queries were submitted, and how many of the first of these are over.
+/// How many queries are over, in the order of submission.
 #[derive(Clone, Copy)]
 pub(super) struct QueryProgress {
+    /// Number of queries submitted so far.
     pub(super) submitted: u64,
+    /// The largest number such that the first `completed` queries are all over.
     pub(super) completed: u64,
 }
 
-/// The open queries by their indices, which are reused.
+/// The open queries by index. Indices are reused.
 #[derive(Default)]
 pub(super) struct QueryTable {
-    /// A query's task ends when its entry is dropped.
+    /// Dropping an entry ends the task of its query.
     by_index: Vec<Option<QueryEntry>>,
     free: Vec<QueryIndex>,
-    /// Queries submitted so far.
+    /// Number of queries submitted so far.
     submitted: u64,
 }
 
@@ -45,14 +47,14 @@
         query
     }
 
-    /// Passes a decision to the task of its query.
+    /// Sends a decision to the task of its query.
     pub(super) fn pass_on(&self, query: QueryIndex, decision: QueryDecision) {
         if let Some(Some(open)) = self.by_index.get(query.0) {
             open.decisions.send(decision).ok();
         }
     }
 
-    /// A query is over and none of its attempts is in flight: its index is free again.
+    /// Frees the index of a query that is over and has no attempt in flight.
     pub(super) fn release(&mut self, query: QueryIndex) {
         let open = self.by_index.get_mut(query.0).and_then(Option::take);
         if open.is_some() {
@@ -60,12 +62,11 @@
         }
     }
 
-    /// Queries submitted so far.
+    /// Returns the number of queries submitted so far.
     pub(super) fn submitted(&self) -> u64 {
         self.submitted
     }
 
-    /// How far the queries have come.
     pub(super) fn progress(&self) -> QueryProgress {
         let open = self.by_index.iter().flatten();
         let first_open = open.map(|open| open.submitted_before).min();
--- a/crates/linenthread-service/src/coordinator_driver/zones.rs
+++ b/crates/linenthread-service/src/coordinator_driver/zones.rs
@@ -1,5 +1,5 @@
-//! The driver's part in routing between zones: observations go to the fleet, its routing tables to the
-//! coordinator.
+//! The driver's part in routing between zones: reports observations to the fleet, and passes the fleet's routing tables
+//! to the coordinator.
 
 use linenthread_core::interface::{AttemptOutcome, ReplicaIndex, TenthMillis};
 use linenthread_zones::RoutingTable;
@@ -9,7 +9,7 @@
 use crate::zone_routing::{ZoneReport, ZoneRouting};
 
 impl CoordinatorDriver {
-    /// Passes the routes between zones to the coordinator, where there are zones.
+    /// Passes the routes between zones to the coordinator, if there are zones.
     pub(super) fn update_zone_routes(&self) {
         let state = self.0.state.borrow();
         let routes = state.zones.as_ref().map(ZoneRouting::routes);
@@ -32,8 +32,8 @@
         is_applied
     }
 
-    /// What was observed of the zones since the last report, and what there is; `None` where there are no zones.
-    /// A table that has expired by now is dropped first.
+    /// Returns the observations since the last report and the current topology; `None` if there are no zones. An
+    /// expired routing table is dropped first.
     pub(crate) fn report_zones(&self) -> Option<ZoneReport> {
         let now = self.0.clock.now();
         if self.0.state.borrow_mut().zones.as_mut()?.expire_table(now) {
--- a/crates/linenthread-service/src/query/mod.rs
+++ b/crates/linenthread-service/src/query/mod.rs
@@ -1,5 +1,5 @@
 //! One query, from its submission until none of its attempts is in flight: [`run`] submits it to the coordinator
-//! driver, and its task carries out the decisions that come back.
+//! driver, and its task performs the decisions that the driver sends.
 
 mod pending_attempts;
 mod task;
@@ -19,30 +19,30 @@
 use pending_attempts::PendingAttempts;
 use task::QueryTask;
 
-/// How a query ended for its client.
+/// The outcome of a query, as its client receives it.
 #[derive(Debug)]
 pub(crate) enum QueryOutcome {
     /// The body of the response.
     Success(Vec<u8>),
-    /// The query may be retried, after this time where it is given.
+    /// The query was rejected and may be retried, after `retry_after_ms` if that is given.
     Rejected { retry_after_ms: Option<f64> },
     /// The query has failed.
     Failed,
-    /// A query of the same id is open.
+    /// Another query with the same id is open.
     DuplicateId,
     /// The requested page cannot be served.
     Invalid(QueryError),
 }
 
-/// What the tasks of all queries share.
+/// State that the tasks of all queries share.
 pub(crate) struct QueryContext {
     pub driver: CoordinatorDriver,
     pub transports: Transports,
     pub cluster: ClusterConfig,
-    /// Attempts are cancelled once the client has left.
+    /// Whether a query's attempts are cancelled when its client disconnects.
     pub sends_cancellations: bool,
     pub merging: ResponseMerging,
-    /// The value of a query by its index, in thousandths.
+    /// The value of a query by its search index, in thousandths.
     pub priorities: Vec<u32>,
     /// The ids of open queries, each removed by its [`OpenId`].
     pub open_ids: RefCell<HashSet<String>>,
@@ -55,7 +55,7 @@
 }
 
 impl<'a> OpenId<'a> {
-    /// `None` where a query of this id is open: sub-requests are identified by it.
+    /// Reserves the id; returns `None` if a query with this id is open, as the ids of sub-requests derive from it.
     fn reserve(context: &'a QueryContext, id: &'a str) -> Option<Self> {
         let is_new = context.open_ids.borrow_mut().insert(id.to_owned());
         is_new.then(|| OpenId { context, id })
@@ -68,15 +68,15 @@
     }
 }
 
-/// A query as a frontend has decoded it and checked it against the deployment.
+/// A query that a frontend has decoded and checked against the deployment.
 pub(crate) struct QueryRequest {
     pub query: Query,
     pub submission: QuerySubmission,
-    /// The requested page, where the index is merged.
+    /// The requested page, used if responses from the index are merged.
     pub page: Page,
 }
 
-/// Runs a query to its end. `client` receives the one outcome; it is closed where the client leaves.
+/// Runs a query to its end. `client` receives its only outcome; dropping the receiver cancels the query.
 pub(crate) async fn run(
     context: Rc<QueryContext>,
     request: QueryRequest,
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -13,8 +13,8 @@
 use crate::transports::InFlightAttempt;
 use crate::transports::attempt::{AttemptKey, OutcomeSender, OutgoingSubRequest};
 
-/// An attempt that is cancelled this close to its deadline counts as timed out for its connection: a query that
-/// runs out of time cancels its attempts at about the moment when they time out.
+/// An attempt that is cancelled this close to its deadline counts as timed out for its connection: a query that times
+/// out cancels its attempts at about the time when they time out.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(20);
 
 /// An attempt that has not finished.
@@ -22,20 +22,20 @@
     sent: TenthMillis,
     deadline: Instant,
     pub(super) replica: ReplicaIndex,
-    /// How many continuations of the sub-request came before.
+    /// Number of earlier continuations of the sub-request.
     pub(super) continuation: u32,
-    /// `None` where it was never sent, which is reported as its outcome.
+    /// `None` if the attempt was not sent, which the transport reports as its outcome.
     in_flight: Option<InFlightAttempt>,
 }
 
-/// What the attempts of one batch have in common; these may share a frame.
+/// The key of a batch: attempts with the same replica and time-out may share a frame.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BatchKey {
     pub(super) replica: ReplicaIndex,
     pub(super) timeout: TenthMillis,
 }
 
-/// Attempts to be sent.
+/// Attempts to be sent, by batch.
 pub(super) type SendBatches = BTreeMap<BatchKey, Vec<OutgoingSubRequest>>;
 
 /// The pending attempts of one query. Each is reported as finished once.
@@ -46,7 +46,7 @@
 }
 
 impl PendingAttempt {
-    /// Where the attempt has run out of time, its connection may have fallen silent.
+    /// Notifies the connection if the attempt has timed out, since the connection may be unresponsive.
     fn judge_connection(&self, outcome: AttemptOutcome) {
         let was_given_up = matches!(
             outcome,
@@ -74,7 +74,8 @@
         self.by_key.get(&key)
     }
 
-    /// The only place where an attempt ends. One that is still in flight is cancelled on its connection.
+    /// Ends an attempt and reports its outcome; attempts end only here. One that is still in flight is cancelled on its
+    /// connection.
     pub(super) fn finish(
         &mut self,
         key: AttemptKey,
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -19,22 +19,22 @@
     pub(super) context: &'a QueryContext,
     pub(super) index: QueryIndex,
     pub(super) query: &'a Query,
-    /// What each first attempt at a sub-request carries.
+    /// The text of the query, which is sent with each attempt unless responses are merged.
     pub(super) text: Rc<str>,
-    /// In thousandths.
+    /// The value of the query, in thousandths.
     pub(super) priority: u32,
     pub(super) responses: ResponseCollector<'a>,
     /// Attempts made so far, by sub-request.
     pub(super) attempt_counts: Vec<usize>,
     pub(super) pending: PendingAttempts<'a>,
-    /// Given to the transports with each attempt.
+    /// Passed to the transports with each attempt.
     pub(super) outcomes: OutcomeSender,
-    /// `None` once it is answered or has left.
+    /// `None` once the client is answered or has disconnected.
     pub(super) client: Option<oneshot::Sender<QueryOutcome>>,
 }
 
 impl QueryTask<'_> {
-    /// Runs until the driver releases the query: it is over, and nothing is in flight.
+    /// Runs until the driver releases the query, when the query is over and nothing is in flight.
     pub(super) async fn run(
         mut self,
         mut decisions: mpsc::UnboundedReceiver<QueryDecision>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Records the response of an attempt, unless it was ended before.
+    /// Records the response to an attempt, unless the attempt has ended before.
     fn on_finished(&mut self, finished: FinishedAttempt) {
         let key = finished.key;
         let Some(pending) = self.pending.get(key) else {
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Performs the decisions made on this query by now. Consecutive attempts that go to one replica share a
-    /// frame; any other decision takes effect after the attempts before it.
+    /// Performs all pending decisions on this query. Consecutive attempts at one replica may share a frame; any other
+    /// decision is performed after the attempts before it are sent.
     fn on_decisions(
         &mut self,
         first: QueryDecision,
@@ -114,7 +114,7 @@
         self.pending.send(batches, &self.query.id, &self.outcomes);
     }
 
-    /// The next attempt at a sub-request.
+    /// Creates the next attempt at a sub-request.
     fn next_attempt(&mut self, sub_request: SubRequestIndex) -> OutgoingSubRequest {
         let AttemptRequest { continuation, text } =
             self.responses.next_request(sub_request, &self.text);
@@ -173,7 +173,7 @@
     }
 }
 
-/// Waits until the client leaves; for ever once it is answered.
+/// Waits until the client disconnects; never completes if `client` is `None`.
 async fn client_left(client: Option<&mut oneshot::Sender<QueryOutcome>>) {
     match client {
         Some(client) => client.closed().await,
