--- a/crates/linenthread-service/src/coordinator_driver/decision.rs
+++ b/crates/linenthread-service/src/coordinator_driver/decision.rs
@@ -36,7 +36,7 @@
             replica,
             timeout,
         };
-        self.queries.pass_on(query, decision);
+        self.queries.send_decision(query, decision);
     }
 
     fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
@@ -44,21 +44,21 @@
             sub_request,
             attempt,
         };
-        self.queries.pass_on(query, decision);
+        self.queries.send_decision(query, decision);
     }
 
     fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
         self.queries
-            .pass_on(query, QueryDecision::Respond { completeness });
+            .send_decision(query, QueryDecision::Respond { completeness });
     }
 
     fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         self.queries
-            .pass_on(query, QueryDecision::Reject { retry_after });
+            .send_decision(query, QueryDecision::Reject { retry_after });
     }
 
     fn fail(&mut self, query: QueryIndex) {
-        self.queries.pass_on(query, QueryDecision::Fail);
+        self.queries.send_decision(query, QueryDecision::Fail);
     }
 
     fn release(&mut self, query: QueryIndex) {
--- a/crates/linenthread-service/src/coordinator_driver/membership.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership.rs
@@ -216,19 +216,21 @@
 
     /// The replicas behind links that are up, except those that the service discovery lists.
     fn reachable_remote(&self) -> BTreeMap<String, RemoteReplica> {
-        let up = || {
+        let reachable_peers = || {
             self.peers
                 .iter()
                 .enumerate()
                 .filter(|(_, peer)| peer.is_reachable())
         };
-        let ids: BTreeSet<&String> = up()
+        let ids: BTreeSet<&String> = reachable_peers()
             .flat_map(|(_, peer)| peer.by_id.keys())
             .filter(|id| !self.local.contains_key(*id))
             .collect();
         let mut reachable = BTreeMap::new();
         for id in ids {
-            let reports = || up().filter_map(|(number, peer)| Some((number, peer.by_id.get(id)?)));
+            let reports = || {
+                reachable_peers().filter_map(|(number, peer)| Some((number, peer.by_id.get(id)?)))
+            };
             if let Some(member) = routing::merge_reports(reports().map(|(_, member)| member)) {
                 let peers = reports()
                     .filter(|(_, member)| member.phase != Phase::Removed)
--- a/crates/linenthread-service/src/coordinator_driver/mod.rs
+++ b/crates/linenthread-service/src/coordinator_driver/mod.rs
@@ -222,7 +222,7 @@
     }
 
     /// Cancels a query whose client has disconnected.
-    pub(crate) fn abandon(&self, query: QueryIndex) {
+    pub(crate) fn cancel_query(&self, query: QueryIndex) {
         self.add_input(|inputs| inputs.cancelled.push(query));
     }
 
--- a/crates/linenthread-service/src/coordinator_driver/peer_members.rs
+++ b/crates/linenthread-service/src/coordinator_driver/peer_members.rs
@@ -36,10 +36,10 @@
         let (valid, invalid): (Vec<_>, Vec<_>) = members
             .into_iter()
             .partition(|member| member.is_valid(replica_groups));
-        if let Some(bad) = invalid.first() {
+        if let Some(first_invalid) = invalid.first() {
             warn!(
-                replica = bad.id,
-                replica_group = bad.replica_group,
+                replica = first_invalid.id,
+                replica_group = first_invalid.replica_group,
                 "gateway lists an invalid replica, ignoring it"
             );
         }
--- a/crates/linenthread-service/src/coordinator_driver/query_table.rs
+++ b/crates/linenthread-service/src/coordinator_driver/query_table.rs
@@ -48,7 +48,7 @@
     }
 
     /// Sends a decision to the task of its query.
-    pub(super) fn pass_on(&self, query: QueryIndex, decision: QueryDecision) {
+    pub(super) fn send_decision(&self, query: QueryIndex, decision: QueryDecision) {
         if let Some(Some(open)) = self.by_index.get(query.0) {
             open.decisions.send(decision).ok();
         }
--- a/crates/linenthread-service/src/frontends/http/connection.rs
+++ b/crates/linenthread-service/src/frontends/http/connection.rs
@@ -13,9 +13,9 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The same for connections that have never had a response, and for all connections while more than half of the
 /// maximum are open.
-const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const SHORT_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A connection whose request takes longer than this to arrive may be evicted in favour of a new one.
-const SLOW_REQUEST: Duration = Duration::from_millis(200);
+const SLOW_REQUEST_THRESHOLD: Duration = Duration::from_millis(200);
 
 /// The progress of a connection's request.
 #[derive(Clone, Copy, PartialEq)]
@@ -42,9 +42,9 @@
     /// Whether the connection closes even during a request, unless the request awaits its response.
     is_evicted: Cell<bool>,
     /// Wakes the task that reads from the connection.
-    reader: RefCell<Option<Waker>>,
+    read_waker: RefCell<Option<Waker>>,
     /// Notified when the client disconnects while its request awaits the response.
-    client_left: Notify,
+    client_disconnected: Notify,
     /// Whether a request was rejected: nothing more is read, and input that was read along with it is ignored.
     discards_input: Cell<bool>,
 }
@@ -57,8 +57,8 @@
             has_had_response: Cell::new(false),
             is_closing: Cell::new(false),
             is_evicted: Cell::new(false),
-            reader: RefCell::new(None),
-            client_left: Notify::new(),
+            read_waker: RefCell::new(None),
+            client_disconnected: Notify::new(),
             discards_input: Cell::new(false),
         }
     }
@@ -111,23 +111,23 @@
     }
 
     /// Returns whether nothing more is to be read: the connection is evicted, or it is closing and idle.
-    pub(super) fn is_ending(&self) -> bool {
+    pub(super) fn must_close(&self) -> bool {
         self.is_evicted.get() || (self.is_closing.get() && self.is_idle())
     }
 
     /// Sets the waker of the reading task, which is woken once after a response, a close or an eviction.
-    pub(super) fn set_reader(&self, reader: &Waker) {
-        self.reader.replace(Some(reader.clone()));
+    pub(super) fn set_read_waker(&self, waker: &Waker) {
+        self.read_waker.replace(Some(waker.clone()));
     }
 
     /// Records that the client has disconnected while its request awaits the response.
-    pub(super) fn on_client_left(&self) {
-        self.client_left.notify_one();
+    pub(super) fn on_client_disconnected(&self) {
+        self.client_disconnected.notify_one();
     }
 
     /// Waits until the client disconnects while its request awaits the response.
-    pub(super) async fn client_left(&self) {
-        self.client_left.notified().await;
+    pub(super) async fn client_disconnected(&self) {
+        self.client_disconnected.notified().await;
     }
 
     /// Returns the time by which a request that has begun must be read completely.
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Returns whether the connection has had a response, is idle since then, and is not closing yet.
-    pub(super) fn is_spent(&self) -> bool {
+    /// Returns whether the connection has had a response, no further request has begun, and it is not closing yet.
+    pub(super) fn is_idle_after_response(&self) -> bool {
         self.has_had_response.get()
             && self.state.get() == ConnectionState::Idle
             && !self.is_closing.get()
@@ -158,16 +158,16 @@
 
     /// Returns whether the client connected so recently that its first request may still be in transit.
     pub(super) fn is_new(&self) -> bool {
-        !self.has_had_response.get() && self.since.get().elapsed() <= SLOW_REQUEST
+        !self.has_had_response.get() && self.since.get().elapsed() <= SLOW_REQUEST_THRESHOLD
     }
 
     /// Returns whether the connection may be evicted in favour of a new one: it is idle, or its request takes longer
-    /// than [`SLOW_REQUEST`] to arrive.
+    /// than [`SLOW_REQUEST_THRESHOLD`] to arrive.
     pub(super) fn may_be_evicted(&self) -> bool {
         let may_be_evicted = match self.state.get() {
             ConnectionState::Idle => true,
             ConnectionState::ReadingHead | ConnectionState::ReadingBody => {
-                self.since.get().elapsed() > SLOW_REQUEST
+                self.since.get().elapsed() > SLOW_REQUEST_THRESHOLD
             }
             ConnectionState::AwaitingResponse => false,
         };
@@ -175,14 +175,14 @@
     }
 
     /// Returns whether the idle time-out has passed, or the time in which a request's head must arrive.
-    pub(super) fn is_idle_too_long(&self, is_crowded: bool) -> bool {
-        let kept = if is_crowded || !self.has_had_response.get() {
-            CROWDED_IDLE_TIMEOUT
+    pub(super) fn has_timed_out(&self, is_over_half_full: bool) -> bool {
+        let idle_timeout = if is_over_half_full || !self.has_had_response.get() {
+            SHORT_IDLE_TIMEOUT
         } else {
             IDLE_TIMEOUT
         };
         let is_overdue = self.state.get() == ConnectionState::ReadingHead;
-        self.is_idle() && (is_overdue || self.since.get().elapsed() > kept)
+        self.is_idle() && (is_overdue || self.since.get().elapsed() > idle_timeout)
     }
 
     /// Closes the connection as soon as it is idle.
@@ -198,8 +198,8 @@
     }
 
     fn wake(&self) {
-        if let Some(reader) = self.reader.borrow_mut().take() {
-            reader.wake();
+        if let Some(waker) = self.read_waker.borrow_mut().take() {
+            waker.wake();
         }
     }
 }
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -36,7 +36,7 @@
 /// How long new connections are accepted after the shutdown has begun; each serves one request.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(1_200);
 /// How long a frontend at its maximum of connections waits for one to close before it evicts another.
-const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const EVICTION_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
@@ -46,13 +46,13 @@
     /// Maximum number of open client connections.
     max_connections: usize,
     /// Maximum number of open connections that are idle after a response.
-    max_spent: usize,
+    max_idle_after_response: usize,
     is_stopping: Cell<bool>,
     /// Notified when a connection has closed.
     closed: Notify,
-    error_lines: LogRateLimit,
-    accept_lines: LogRateLimit,
-    full_lines: LogRateLimit,
+    error_log_limit: LogRateLimit,
+    accept_log_limit: LogRateLimit,
+    eviction_log_limit: LogRateLimit,
 }
 
 /// Serves queries over HTTP.
@@ -60,12 +60,12 @@
 pub(crate) struct HttpFrontend(Rc<Inner>);
 
 /// A connection that counts towards the maximum. It is removed from the frontend's connections only by dropping this.
-struct AdmittedClient {
+struct ClientRegistration {
     frontend: HttpFrontend,
     client: Rc<ClientConnection>,
 }
 
-impl Drop for AdmittedClient {
+impl Drop for ClientRegistration {
     fn drop(&mut self) {
         let inner = &self.frontend.0;
         let mut clients = inner.clients.borrow_mut();
@@ -77,17 +77,21 @@
 impl HttpFrontend {
     /// `max_connections` limits the open client connections, and `max_idle_after_response` those of them that are
     /// idle after a response.
-    pub(crate) fn new(context: Rc<QueryContext>, max_connections: usize, max_spent: usize) -> Self {
+    pub(crate) fn new(
+        context: Rc<QueryContext>,
+        max_connections: usize,
+        max_idle_after_response: usize,
+    ) -> Self {
         HttpFrontend(Rc::new(Inner {
             context,
             clients: RefCell::default(),
             max_connections,
-            max_spent,
+            max_idle_after_response,
             is_stopping: Cell::new(false),
             closed: Notify::new(),
-            error_lines: LogRateLimit::default(),
-            accept_lines: LogRateLimit::default(),
-            full_lines: LogRateLimit::default(),
+            error_log_limit: LogRateLimit::default(),
+            accept_log_limit: LogRateLimit::default(),
+            eviction_log_limit: LogRateLimit::default(),
         }))
     }
 
@@ -99,14 +103,14 @@
                 self.evict_one();
                 tokio::select! {
                     () = self.0.closed.notified() => {}
-                    () = sleep(FULL_RETRY_INTERVAL) => {}
+                    () = sleep(EVICTION_INTERVAL) => {}
                 }
                 continue;
             }
             match listener.accept().await {
-                Ok((stream, _)) => self.admit(stream),
+                Ok((stream, _)) => self.add_connection(stream),
                 Err(e) => {
-                    if let Some(suppressed) = self.0.accept_lines.admit() {
+                    if let Some(suppressed) = self.0.accept_log_limit.admit() {
                         warn!(suppressed, "cannot accept a connection: {e}");
                     }
                     self.evict_one();
@@ -124,17 +128,17 @@
             "shutting down, accepting connections a moment longer"
         );
         self.0.is_stopping.set(true);
-        let began = Instant::now();
+        let stopping_since = Instant::now();
         for after in [IDLE_TIMEOUT_WHILE_STOPPING, ACCEPT_WHILE_STOPPING] {
             tokio::select! {
                 () = self.accept(&listener) => {}
-                () = sleep_until(began + after) => {}
+                () = sleep_until(stopping_since + after) => {}
             }
             self.close_idle();
         }
         // Connections that the operating system has queued by now are still served.
         while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-            self.admit(stream);
+            self.add_connection(stream);
         }
         drop(listener);
         while !self.0.clients.borrow().is_empty() {
@@ -153,30 +157,31 @@
         let mut ticks = interval(SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
-            self.close_overdue();
-            self.close_spent();
+            self.close_timed_out();
+            self.close_excess_idle();
         }
     }
 
-    /// Closes connections whose idle time-out has passed.
-    fn close_overdue(&self) {
+    fn close_timed_out(&self) {
         let clients = self.0.clients.borrow();
-        let is_crowded = clients.len() > self.0.max_connections / 2;
+        let is_over_half_full = clients.len() > self.0.max_connections / 2;
         clients
             .iter()
-            .filter(|client| client.is_idle_too_long(is_crowded))
+            .filter(|client| client.has_timed_out(is_over_half_full))
             .for_each(|client| client.close());
     }
 
     /// Closes the least recently used connections beyond the maximum that may be idle after a response. Otherwise,
     /// clients that stay connected after one request would use up the connections of clients that have requests.
-    fn close_spent(&self) {
+    fn close_excess_idle(&self) {
         let clients = self.0.clients.borrow();
-        let mut spent: Vec<_> = clients.iter().filter(|client| client.is_spent()).collect();
-        spent.sort_by_key(|client| Reverse(client.since()));
-        spent
+        let mut idle: Vec<_> = clients
             .iter()
-            .skip(self.0.max_spent)
+            .filter(|client| client.is_idle_after_response())
+            .collect();
+        idle.sort_by_key(|client| Reverse(client.since()));
+        idle.iter()
+            .skip(self.0.max_idle_after_response)
             .for_each(|client| client.close());
     }
 
@@ -189,7 +194,7 @@
 
     /// Evicts the connection that has been without a complete request for longest.
     fn evict_one(&self) {
-        if let Some(suppressed) = self.0.full_lines.admit() {
+        if let Some(suppressed) = self.0.eviction_log_limit.admit() {
             warn!(
                 max = self.0.max_connections,
                 suppressed, "too many client connections, closing the longest without a request"
@@ -204,16 +209,16 @@
     }
 
     /// Adds a connection and spawns a task that serves it.
-    fn admit(&self, stream: TcpStream) {
+    fn add_connection(&self, stream: TcpStream) {
         let client = Rc::new(ClientConnection::new());
         self.0.clients.borrow_mut().push(client.clone());
-        let admitted = AdmittedClient {
+        let registration = ClientRegistration {
             frontend: self.clone(),
             client: client.clone(),
         };
         actix_rt::spawn(async move {
-            admitted.frontend.serve(stream, client).await;
-            drop(admitted);
+            registration.frontend.serve(stream, client).await;
+            drop(registration);
         });
     }
 
@@ -244,7 +249,7 @@
             io: stream,
             connection,
         };
-        // The error needs no handling: a request was answered, or its query's task detects that the client has left.
+        // The error needs no handling: each request was answered, or its query's task was notified of the disconnect.
         service.call((stream, Some(address))).await.ok();
     }
 }
--- a/crates/linenthread-service/src/frontends/http/response.rs
+++ b/crates/linenthread-service/src/frontends/http/response.rs
@@ -71,7 +71,7 @@
         tokio::select! {
             outcome = outcome => outcome.unwrap_or(QueryOutcome::Failed),
             // This outcome is not delivered. The query's task is notified by the drop of the receiver.
-            () = client.client_left() => QueryOutcome::Failed,
+            () = client.client_disconnected() => QueryOutcome::Failed,
         }
     }
 
@@ -84,7 +84,7 @@
     ) -> Response<BoxBody> {
         let status = error.status();
         let reason = error.to_string();
-        if let Some(suppressed) = self.0.error_lines.admit() {
+        if let Some(suppressed) = self.0.error_log_limit.admit() {
             info!(
                 status = status.as_u16(),
                 suppressed, "request rejected: {reason}"
--- a/crates/linenthread-service/src/frontends/http/stream.rs
+++ b/crates/linenthread-service/src/frontends/http/stream.rs
@@ -24,11 +24,11 @@
 
 impl ClientStream {
     /// Detects whether the client has disconnected, without reading anything.
-    fn poll_client_left(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.connection.set_reader(cx.waker());
+    fn poll_client_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.connection.set_read_waker(cx.waker());
         match self.io.poll_peek(cx, &mut ReadBuf::new(&mut [0])) {
             Poll::Ready(Ok(0)) => {
-                self.connection.on_client_left();
+                self.connection.on_client_disconnected();
                 Poll::Ready(Ok(()))
             }
             Poll::Ready(Ok(_)) | Poll::Pending => Poll::Pending,
@@ -47,7 +47,7 @@
             return Poll::Ready(Ok(()));
         }
         if self.connection.awaits_response() {
-            return self.poll_client_left(cx);
+            return self.poll_client_disconnected(cx);
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
@@ -56,10 +56,10 @@
             connection.on_request_bytes();
         }
         if read.is_pending() {
-            if connection.is_ending() {
+            if connection.must_close() {
                 return Poll::Ready(Ok(()));
             }
-            connection.set_reader(cx.waker());
+            connection.set_read_waker(cx.waker());
         }
         read
     }
--- a/crates/linenthread-service/src/frontends/link/calls.rs
+++ b/crates/linenthread-service/src/frontends/link/calls.rs
@@ -47,7 +47,7 @@
             queue_depth: finished.queue_depth,
             value: finished.value,
         };
-        self.act(|server, _, actions| server.on_call_completed(key.session, outcome, actions));
+        self.step(|server, _, actions| server.on_call_completed(key.session, outcome, actions));
     }
 
     /// Makes the only attempt of a call.
@@ -91,7 +91,7 @@
     pub(super) async fn probe(self, connection: ConnectionId, id: ProbeId, replica: String) {
         let report = match self.0.driver.direct_replica(&replica) {
             Some(replica) => self.0.transports.probe(replica).await,
-            None => ProbeReport::without_load(AttemptOutcome::NotSent),
+            None => ProbeReport::without_queue_depth(AttemptOutcome::NotSent),
         };
         let outcome = ProbeOutcome {
             id,
--- a/crates/linenthread-service/src/frontends/link/connection.rs
+++ b/crates/linenthread-service/src/frontends/link/connection.rs
@@ -38,7 +38,7 @@
     #[snafu(display("the peer reads too slowly"))]
     SlowPeer,
     #[snafu(display("{reason}"))]
-    ClosedHere { reason: ServerCloseReason },
+    ClosedLocally { reason: ServerCloseReason },
     #[snafu(display("{source}"))]
     Io { source: io::Error },
     #[snafu(display("{source}"))]
@@ -80,7 +80,7 @@
     /// Closes the connection once all frames are written.
     pub(super) fn close(&self, reason: ServerCloseReason) {
         self.close
-            .replace(Some(ConnectionEnd::ClosedHere { reason }));
+            .replace(Some(ConnectionEnd::ClosedLocally { reason }));
         self.wake.notify_one();
     }
 
@@ -112,7 +112,7 @@
                     actix_rt::spawn(self.clone().serve(stream, address));
                 }
                 Ok(_) => {
-                    if let Some(suppressed) = self.0.log_lines.admit() {
+                    if let Some(suppressed) = self.0.log_limit.admit() {
                         warn!(suppressed, "too many link connections, closing the new one");
                     }
                 }
@@ -124,20 +124,20 @@
     /// Serves one connection until it ends.
     async fn serve(self, mut stream: TcpStream, address: SocketAddr) {
         stream.set_nodelay(true).ok();
-        let number = self.0.last_connection.get() + 1;
-        self.0.last_connection.set(number);
+        let number = self.0.last_connection_number.get() + 1;
+        self.0.last_connection_number.set(number);
         let id = ConnectionId(number);
         let connection = Rc::new(Connection::new());
         self.0
             .connections
             .borrow_mut()
             .insert(id, connection.clone());
-        self.act(|server, now, actions| server.on_accepted(now, id, actions));
+        self.step(|server, now, actions| server.on_accepted(now, id, actions));
         let cause = self.exchange(&mut stream, id, &connection).await;
         // Connections are removed only here.
         self.0.connections.borrow_mut().remove(&id);
-        self.act(|server, now, _| server.on_disconnected(now, id));
-        if let Some(suppressed) = self.0.log_lines.admit() {
+        self.step(|server, now, _| server.on_disconnected(now, id));
+        if let Some(suppressed) = self.0.log_limit.admit() {
             info!(%address, suppressed, "link connection ended: {cause}");
         }
     }
@@ -177,10 +177,10 @@
     /// Passes the complete frames in `received` to the state machine. If a frame cannot be decoded, the peer is sent
     /// the reason and the connection is closed.
     fn on_received(&self, id: ConnectionId, connection: &Connection, received: &mut Vec<u8>) {
-        let take = |frame| {
-            self.act(|server, now, actions| server.on_frame(now, id, frame, actions));
+        let on_frame = |frame| {
+            self.step(|server, now, actions| server.on_frame(now, id, frame, actions));
         };
-        if let Err(source) = Frame::drain(received, take) {
+        if let Err(source) = Frame::drain(received, on_frame) {
             let reason = source.to_string();
             self.send(id, &Frame::Refuse { reason });
             connection
--- a/crates/linenthread-service/src/frontends/link/mod.rs
+++ b/crates/linenthread-service/src/frontends/link/mod.rs
@@ -38,10 +38,10 @@
     connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
     /// Running calls, each with the notification that cancels it.
     running: RefCell<BTreeMap<CallKey, Rc<Notify>>>,
-    last_connection: Cell<u64>,
+    last_connection_number: Cell<u64>,
     /// Wakes the timer's task.
     wake: Notify,
-    log_lines: LogRateLimit,
+    log_limit: LogRateLimit,
 }
 
 /// Serves links from other sites.
@@ -62,14 +62,14 @@
             slow_start_share,
             connections: RefCell::default(),
             running: RefCell::default(),
-            last_connection: Cell::default(),
+            last_connection_number: Cell::default(),
             wake: Notify::new(),
-            log_lines: LogRateLimit::default(),
+            log_limit: LogRateLimit::default(),
         }))
     }
 
     /// Passes an input to the state machine, and performs the actions that it returns.
-    fn act(&self, input: impl FnOnce(&mut LinkServer, TenthMillis, &mut Vec<ServerAction>)) {
+    fn step(&self, input: impl FnOnce(&mut LinkServer, TenthMillis, &mut Vec<ServerAction>)) {
         let mut actions = Vec::new();
         input(
             &mut self.0.server.borrow_mut(),
@@ -139,7 +139,7 @@
                     ..member
                 })
                 .collect();
-            self.act(|server, _, actions| server.set_members(members, actions));
+            self.step(|server, _, actions| server.set_members(members, actions));
             self.0.driver.local_changed().await;
         }
     }
@@ -148,7 +148,7 @@
     async fn run_timer(&self) {
         loop {
             tokio::select! {
-                () = sleep_until(self.next_timeout()) => self.act(LinkServer::on_timeout),
+                () = sleep_until(self.next_timeout()) => self.step(LinkServer::on_timeout),
                 () = self.0.wake.notified() => {}
             }
         }
@@ -163,7 +163,7 @@
     /// Shuts down gracefully: accepts no new calls, and waits until the outcomes of the running calls are delivered,
     /// but for at most `max_wait`.
     pub(crate) async fn drain(&self, max_wait: Duration) {
-        self.act(|server, _, actions| server.start_draining(actions));
+        self.step(|server, _, actions| server.start_draining(actions));
         let drained = async {
             while self.0.server.borrow().retained_calls() > 0 {
                 sleep(DRAIN_POLL_INTERVAL).await;
--- a/crates/linenthread-service/src/query/pending_attempts.rs
+++ b/crates/linenthread-service/src/query/pending_attempts.rs
@@ -47,13 +47,13 @@
 
 impl PendingAttempt {
     /// Notifies the connection if the attempt has timed out, since the connection may be unresponsive.
-    fn judge_connection(&self, outcome: AttemptOutcome) {
-        let was_given_up = matches!(
+    fn notify_connection_on_timeout(&self, outcome: AttemptOutcome) {
+        let has_no_response = matches!(
             outcome,
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled
         );
         if let Some(in_flight) = &self.in_flight
-            && was_given_up
+            && has_no_response
             && Instant::now() + DEADLINE_TOLERANCE >= self.deadline
         {
             in_flight.on_timeout();
@@ -85,7 +85,7 @@
         let Some(pending) = self.by_key.remove(&key) else {
             return;
         };
-        pending.judge_connection(outcome);
+        pending.notify_connection_on_timeout(outcome);
         let driver = &self.context.driver;
         let elapsed = driver.clock().now() - pending.sent;
         driver.observe_outcome(pending.replica, outcome, elapsed);
--- a/crates/linenthread-service/src/query/task.rs
+++ b/crates/linenthread-service/src/query/task.rs
@@ -52,7 +52,7 @@
                 () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => {
                     self.pending.expire();
                 }
-                () = client_left(self.client.as_mut()) => self.on_client_left(),
+                () = client_disconnected(self.client.as_mut()) => self.on_client_disconnected(),
             }
         }
     }
@@ -83,9 +83,9 @@
         }
     }
 
-    fn on_client_left(&mut self) {
+    fn on_client_disconnected(&mut self) {
         self.client = None;
-        self.context.driver.abandon(self.index);
+        self.context.driver.cancel_query(self.index);
         if self.context.sends_cancellations {
             self.pending.cancel_all();
         }
@@ -174,7 +174,7 @@
 }
 
 /// Waits until the client disconnects; never completes if `client` is `None`.
-async fn client_left(client: Option<&mut oneshot::Sender<QueryOutcome>>) {
+async fn client_disconnected(client: Option<&mut oneshot::Sender<QueryOutcome>>) {
     match client {
         Some(client) => client.closed().await,
         None => std::future::pending().await,
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -84,7 +84,7 @@
 }
 
 impl ProbeReport {
-    pub(crate) fn without_load(outcome: AttemptOutcome) -> ProbeReport {
+    pub(crate) fn without_queue_depth(outcome: AttemptOutcome) -> ProbeReport {
         ProbeReport {
             outcome,
             queue_depth: None,
--- a/crates/linenthread-service/src/transports/connection/exchange.rs
+++ b/crates/linenthread-service/src/transports/connection/exchange.rs
@@ -22,7 +22,7 @@
 const READ_BYTES: usize = 16 * 1024;
 
 /// Whether a connection continues after a read.
-enum Turn {
+enum ReadOutcome {
     Continue,
     /// The replica has closed the connection while it was idle.
     Closed,
@@ -73,8 +73,8 @@
             tokio::select! {
                 biased;
                 count = input.read_buf(&mut read.buffer) => match self.on_read(count, &mut read, is_idle)? {
-                    Turn::Continue => {}
-                    Turn::Closed => return Ok(()),
+                    ReadOutcome::Continue => {}
+                    ReadOutcome::Closed => return Ok(()),
                 },
                 written = output.write(unwritten), if !unwritten.is_empty() => {
                     let written = written.context(IoSnafu)?;
@@ -109,9 +109,9 @@
         count: io::Result<usize>,
         read: &mut ReadState,
         is_idle: bool,
-    ) -> Result<Turn, ConnectionError> {
+    ) -> Result<ReadOutcome, ConnectionError> {
         match count.context(IoSnafu)? {
-            0 if is_idle => return Ok(Turn::Closed),
+            0 if is_idle => return Ok(ReadOutcome::Closed),
             0 => return ClosedSnafu.fail(),
             count if count == read.buffer.len() => read.frame_started_at = Instant::now(),
             _ => {}
@@ -122,7 +122,7 @@
             // Only a complete frame shows that the replica is responsive.
             self.last_read.set(read.last_active);
             self.is_established.set(true);
-            self.is_silent.set(false);
+            self.is_unresponsive.set(false);
             self.on_message(message)?;
         }
         if !read.buffer.is_empty() && self.in_flight() == 0 {
@@ -130,6 +130,6 @@
         }
         self.is_mid_frame.set(!read.buffer.is_empty());
         read.buffer.reserve(READ_BYTES);
-        Ok(Turn::Continue)
+        Ok(ReadOutcome::Continue)
     }
 }
--- a/crates/linenthread-service/src/transports/connection/in_flight.rs
+++ b/crates/linenthread-service/src/transports/connection/in_flight.rs
@@ -20,7 +20,7 @@
 impl InFlightAttempt {
     /// Marks the connection as unresponsive if no complete frame was read since the attempt was sent.
     pub(crate) fn on_timeout(&self) {
-        self.connection.set_silent_since(self.sent);
+        self.connection.mark_unresponsive_since(self.sent);
     }
 }
 
--- a/crates/linenthread-service/src/transports/connection/messages.rs
+++ b/crates/linenthread-service/src/transports/connection/messages.rs
@@ -102,7 +102,7 @@
             pending.reporter.report_without_response(outcome);
         }
         for probe in self.probes.borrow_mut().drain(..) {
-            let report = ProbeReport::without_load(outcome(probe.progress));
+            let report = ProbeReport::without_queue_depth(outcome(probe.progress));
             probe.report.send(report).ok();
         }
         self.outgoing.borrow_mut().clear();
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -73,7 +73,7 @@
     /// Whether a frame was read in part.
     is_mid_frame: Cell<bool>,
     /// Whether no complete frame was read during the whole time-out of a request; no new request is sent until one is.
-    is_silent: Cell<bool>,
+    is_unresponsive: Cell<bool>,
     /// Whether the connection closes once nothing is in flight.
     is_retired: Cell<bool>,
 }
@@ -96,7 +96,7 @@
             last_read: Cell::new(Instant::now()),
             is_established: Cell::new(false),
             is_mid_frame: Cell::new(false),
-            is_silent: Cell::new(false),
+            is_unresponsive: Cell::new(false),
             is_retired: Cell::new(false),
         }
     }
@@ -182,8 +182,8 @@
     }
 
     /// Marks the connection as unresponsive if no complete frame was read since `sent`.
-    pub(in crate::transports) fn set_silent_since(&self, sent: Instant) {
-        if self.last_read.get() < sent && !self.is_silent.replace(true) {
+    pub(in crate::transports) fn mark_unresponsive_since(&self, sent: Instant) {
+        if self.last_read.get() < sent && !self.is_unresponsive.replace(true) {
             info!(address = %self.address, "replica connection timed out, no longer used for new requests");
             self.wake.notify_one();
         }
@@ -207,7 +207,7 @@
 
     /// Returns whether the connection takes new requests.
     pub(in crate::transports) fn is_usable(&self) -> bool {
-        !self.is_silent.get() && !self.is_retired.get()
+        !self.is_unresponsive.get() && !self.is_retired.get()
     }
 
     pub(in crate::transports) fn is_mid_frame(&self) -> bool {
--- a/crates/linenthread-service/src/transports/link/connection.rs
+++ b/crates/linenthread-service/src/transports/link/connection.rs
@@ -31,7 +31,7 @@
     #[snafu(display("closed by the gateway"))]
     ClosedByGateway,
     #[snafu(display("{reason}"))]
-    ClosedHere { reason: ClientCloseReason },
+    ClosedLocally { reason: ClientCloseReason },
     #[snafu(display("{source}"))]
     Io { source: io::Error },
     #[snafu(display("{source}"))]
@@ -43,7 +43,7 @@
     pub(super) async fn run(self) {
         loop {
             tokio::select! {
-                () = sleep_until(self.next_timeout()) => self.act(LinkClient::on_timeout),
+                () = sleep_until(self.next_timeout()) => self.step(LinkClient::on_timeout),
                 () = self.0.wake.notified() => {}
             }
             if self.0.connect_requested.take() {
@@ -51,12 +51,12 @@
                     Ok(stream) => self.exchange(stream).await,
                     Err(error) => error,
                 };
-                if let Some(suppressed) = self.0.log_lines.admit() {
+                if let Some(suppressed) = self.0.log_limit.admit() {
                     warn!(peer = self.0.name, address = %self.0.address, suppressed, "link lost: {cause}");
                 }
                 self.0.outgoing.borrow_mut().clear();
                 self.0.close_reason.take();
-                self.act(LinkClient::on_disconnected);
+                self.step(LinkClient::on_disconnected);
             }
         }
     }
@@ -77,7 +77,7 @@
     /// Writes and reads frames until the connection ends; returns the reason.
     async fn exchange(&self, mut stream: TcpStream) -> LinkError {
         stream.set_nodelay(true).ok();
-        self.act(|client, now, _| client.on_connected(now));
+        self.step(|client, now, _| client.on_connected(now));
         let (mut input, mut output) = stream.split();
         let mut received = Vec::new();
         let mut buffer = vec![0; READ_BYTES];
@@ -85,7 +85,7 @@
         loop {
             // Nothing more is written: calls that were not written completely by now were reported as not sent.
             if let Some(reason) = self.0.close_reason.take() {
-                return LinkError::ClosedHere { reason };
+                return LinkError::ClosedLocally { reason };
             }
             if writing.is_none() {
                 let next = self.0.outgoing.borrow_mut().pop_front();
@@ -111,7 +111,7 @@
                     }
                     Err(source) => return LinkError::Io { source },
                 },
-                () = sleep_until(self.next_timeout()) => self.act(LinkClient::on_timeout),
+                () = sleep_until(self.next_timeout()) => self.step(LinkClient::on_timeout),
                 () = self.0.wake.notified() => {}
             }
         }
@@ -120,7 +120,7 @@
     /// Passes the complete frames in `received` to the state machine.
     fn on_received(&self, received: &mut Vec<u8>) -> Result<(), FrameError> {
         Frame::drain(received, |frame| {
-            self.act(|client, now, actions| client.on_frame(now, frame, actions));
+            self.step(|client, now, actions| client.on_frame(now, frame, actions));
         })
     }
 
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -48,7 +48,7 @@
     /// Wakes the link's task.
     wake: Notify,
     events: mpsc::UnboundedSender<LinkEvent>,
-    log_lines: LogRateLimit,
+    log_limit: LogRateLimit,
 }
 
 /// The link to one peer.
@@ -75,7 +75,7 @@
         let pending = self.peer.0.calls.borrow_mut().remove(&self.id);
         if pending.is_some() {
             self.peer
-                .act(|client, _, actions| client.withdraw(self.id, actions));
+                .step(|client, _, actions| client.withdraw(self.id, actions));
         }
     }
 }
@@ -110,7 +110,7 @@
             close_reason: RefCell::default(),
             wake: Notify::new(),
             events,
-            log_lines: LogRateLimit::default(),
+            log_limit: LogRateLimit::default(),
         }));
         actix_rt::spawn(peer.clone().run());
         peer
@@ -122,7 +122,7 @@
     }
 
     /// Passes an input to the state machine, and performs the actions that it returns.
-    fn act(&self, input: impl FnOnce(&mut LinkClient, TenthMillis, &mut Vec<ClientAction>)) {
+    fn step(&self, input: impl FnOnce(&mut LinkClient, TenthMillis, &mut Vec<ClientAction>)) {
         let mut actions = Vec::new();
         input(
             &mut self.0.client.borrow_mut(),
@@ -214,7 +214,7 @@
     ) -> InFlightAttempt {
         let mut id = CallId(0);
         // The call may complete at once, so it is registered before the actions are performed.
-        self.act(|client, now, actions| {
+        self.step(|client, now, actions| {
             id = client.call(now, call, deadline, outgoing.priority, actions);
             let reporter = OutcomeReporter::new(outgoing.key, outcomes);
             self.0.calls.borrow_mut().insert(id, reporter);
@@ -228,14 +228,14 @@
     /// Probes the health and load of a replica behind the link.
     pub(crate) async fn probe(&self, replica_id: &str, wait: Duration) -> ProbeReport {
         let (report, response) = oneshot::channel();
-        self.act(|client, _, actions| {
+        self.step(|client, _, actions| {
             let id = client.probe(replica_id.to_owned(), actions);
             self.0.probes.borrow_mut().insert(id, report);
         });
         match timeout(wait, response).await {
             Ok(Ok(report)) => report,
-            Ok(Err(_)) => ProbeReport::without_load(AttemptOutcome::ConnectionLost),
-            Err(_) => ProbeReport::without_load(AttemptOutcome::TimedOut),
+            Ok(Err(_)) => ProbeReport::without_queue_depth(AttemptOutcome::ConnectionLost),
+            Err(_) => ProbeReport::without_queue_depth(AttemptOutcome::TimedOut),
         }
     }
 }
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -59,9 +59,9 @@
 }
 
 /// An attempt in flight at a replica. Dropping it cancels the attempt, unless it has finished.
-pub struct InFlightAttempt(AttemptOn);
+pub struct InFlightAttempt(TransportAttempt);
 
-enum AttemptOn {
+enum TransportAttempt {
     Connection(connection::InFlightAttempt),
     Link(link::InFlightAttempt),
 }
@@ -70,8 +70,8 @@
     /// Handles the time-out of the attempt, which may show that its connection is unresponsive.
     pub(crate) fn on_timeout(&self) {
         match &self.0 {
-            AttemptOn::Connection(attempt) => attempt.on_timeout(),
-            AttemptOn::Link(attempt) => attempt.on_timeout(),
+            TransportAttempt::Connection(attempt) => attempt.on_timeout(),
+            TransportAttempt::Link(attempt) => attempt.on_timeout(),
         }
     }
 }
@@ -147,7 +147,7 @@
             return in_flight
                 .into_iter()
                 .map(|attempt| {
-                    attempt.map(|attempt| InFlightAttempt(AttemptOn::Connection(attempt)))
+                    attempt.map(|attempt| InFlightAttempt(TransportAttempt::Connection(attempt)))
                 })
                 .collect();
         };
@@ -157,7 +157,7 @@
         let wait = Duration::from_millis(wait_ms);
         peer.send(&selected.replica_id, query_id, sub_requests, wait, outcomes)
             .into_iter()
-            .map(|attempt| Some(InFlightAttempt(AttemptOn::Link(attempt))))
+            .map(|attempt| Some(InFlightAttempt(TransportAttempt::Link(attempt))))
             .collect()
     }
 
@@ -169,7 +169,7 @@
                 replica_id,
             }) => peer.probe(&replica_id, self.0.probe_timeout).await,
             Some(SelectedLink { peer: None, .. }) => {
-                ProbeReport::without_load(AttemptOutcome::NotSent)
+                ProbeReport::without_queue_depth(AttemptOutcome::NotSent)
             }
             None => self.0.direct.probe(replica).await,
         }
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -39,9 +39,9 @@
     connection_count: Cell<usize>,
     next_attempt_number: Cell<u64>,
     /// For the lines about connections that are not opened because the pool is full.
-    full_lines: LogRateLimit,
+    full_log_limit: LogRateLimit,
     /// For the lines about failed connections.
-    failure_lines: LogRateLimit,
+    failure_log_limit: LogRateLimit,
 }
 
 /// A permit for one of at most `max_connections` connections. Dropping it releases it.
@@ -77,8 +77,8 @@
             endpoints: RefCell::default(),
             connection_count: Cell::new(0),
             next_attempt_number: Cell::new(0),
-            full_lines: LogRateLimit::default(),
-            failure_lines: LogRateLimit::default(),
+            full_log_limit: LogRateLimit::default(),
+            failure_log_limit: LogRateLimit::default(),
         }))
     }
 
@@ -119,8 +119,9 @@
             .iter()
             .map(|outgoing| frame::sub_request_id(query_id, outgoing.shard, outgoing.continuation))
             .collect();
-        let is_free_of_ids = |connection: &Connection| !connection.has_any(&ids);
-        let Some(connection) = self.connection(replica, sub_requests.len(), is_free_of_ids) else {
+        let has_none_in_flight = |connection: &Connection| !connection.has_any(&ids);
+        let Some(connection) = self.connection(replica, sub_requests.len(), has_none_in_flight)
+        else {
             return report_not_sent(sub_requests, outcomes);
         };
         let next_number = || {
@@ -150,16 +151,16 @@
     /// Probes a replica's health and load.
     pub(crate) async fn probe(&self, replica: ReplicaIndex) -> ProbeReport {
         let Some(connection) = self.connection(replica, 1, |_| true) else {
-            return ProbeReport::without_load(AttemptOutcome::NotSent);
+            return ProbeReport::without_queue_depth(AttemptOutcome::NotSent);
         };
         let response = connection.send_probe();
         let sent = Instant::now();
         match timeout(self.0.config.probe_timeout, response).await {
             Ok(Ok(report)) => report,
-            Ok(Err(_)) => ProbeReport::without_load(AttemptOutcome::ConnectionLost),
+            Ok(Err(_)) => ProbeReport::without_queue_depth(AttemptOutcome::ConnectionLost),
             Err(_) => {
-                connection.set_silent_since(sent);
-                ProbeReport::without_load(AttemptOutcome::TimedOut)
+                connection.mark_unresponsive_since(sent);
+                ProbeReport::without_queue_depth(AttemptOutcome::TimedOut)
             }
         }
     }
@@ -176,7 +177,7 @@
         let endpoint = endpoints.get_mut(replica.0)?;
         let address = endpoint.address?;
         let config = &self.0.config;
-        let has_room = |connection: &&Rc<Connection>| {
+        let is_available = |connection: &&Rc<Connection>| {
             let in_flight = connection.in_flight();
             let fits = in_flight == 0 || in_flight + additional <= config.max_streams;
             fits && connection.is_usable() && is_suitable(connection)
@@ -193,7 +194,7 @@
         let best = endpoint
             .connections
             .iter()
-            .filter(has_room)
+            .filter(is_available)
             .min_by_key(rank);
         let may_share = self.is_full() || endpoint.connections.len() >= MIN_SHARED_CONNECTIONS;
         if let Some(connection) = best.filter(|best| best.in_flight() == 0 || may_share) {
@@ -215,7 +216,7 @@
         endpoint: &mut Endpoint,
     ) -> Option<Rc<Connection>> {
         let Some(permit) = ConnectionPermit::acquire(&self.0) else {
-            if let Some(suppressed) = self.0.full_lines.admit() {
+            if let Some(suppressed) = self.0.full_log_limit.admit() {
                 warn!(%address, suppressed, "too many replica connections, not opening another");
             }
             return None;
@@ -248,7 +249,7 @@
             .as_ref()
             .map_or_else(ConnectionError::end, |()| ConnectionEnd::Lost);
         if let Err(cause) = result
-            && let Some(suppressed) = self.0.failure_lines.admit()
+            && let Some(suppressed) = self.0.failure_log_limit.admit()
         {
             let (address, in_flight) = (connection.address, connection.attempts_in_flight());
             let protocol_violation = end == ConnectionEnd::ProtocolViolated;
