--- a/crates/linenthread-service/src/coordinator_driver/membership.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership.rs
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Removes the replicas that have no entry, given all entries of a complete list.
+    /// Removes the replicas that are not in `entries`, which covers a complete list and the replicas behind links.
     fn remove_unlisted(&mut self, entries: &[MembershipEntry], submitted: u64) {
         let mut is_listed = vec![false; self.replicas.count()];
         for entry in entries {
@@ -194,7 +194,7 @@
         for (id, replica) in &current {
             match previous.get(id) {
                 Some(known) if known.member == replica.member && known.peers == replica.peers => {}
-                // Only the route has changed, which the coordinator does not know.
+                // Only the peers have changed: the coordinator need not be notified, as it does not know them.
                 Some(known) if known.member == replica.member => {
                     let index = self.replicas.get_or_assign(id);
                     self.transports
--- a/crates/linenthread-service/src/frontends/http/stream.rs
+++ b/crates/linenthread-service/src/frontends/http/stream.rs
@@ -12,11 +12,11 @@
 
 /// The stream of a client connection.
 ///
-/// To close the connection, the stream ends as if the client had closed it, but only when everything that has arrived
-/// is read: between requests, or during one if the connection is evicted. While a request awaits its response, the
-/// stream reads nothing and only detects whether the client disconnects, so that further requests do not accumulate.
-/// The service must allow half-closed connections; otherwise actix-http would drop a request that is read together with
-/// input that cannot be parsed.
+/// To close the connection, the stream ends as if the client had closed it, but only once everything that has arrived
+/// is read: between requests, or within a request that is overdue or whose connection is evicted. While a request
+/// awaits its response, the stream reads nothing and only detects whether the client disconnects, so that further
+/// requests do not accumulate. The service must allow half-closed connections; otherwise actix-http would drop a
+/// request that is read together with input that cannot be parsed.
 pub(super) struct ClientStream {
     pub(super) io: TcpStream,
     pub(super) connection: Rc<ClientConnection>,
--- a/crates/linenthread-service/src/transports/attempt.rs
+++ b/crates/linenthread-service/src/transports/attempt.rs
@@ -122,7 +122,7 @@
 /// Settings for connections to replicas.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionConfig {
-    /// Maximum number of attempts and probes in flight on one connection. More than that in one frame are sent on a
+    /// Maximum number of attempts and probes in flight on one connection. A frame with more attempts is sent on a
     /// connection with nothing in flight.
     pub max_streams: usize,
     /// Whether cancellations are sent to replicas.
--- a/crates/linenthread-service/src/transports/connection/exchange.rs
+++ b/crates/linenthread-service/src/transports/connection/exchange.rs
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// Returns why the connection failed. It has not failed if either side closed it while it was idle.
+    /// Returns why the connection failed. A close by either side while it is idle is not a failure.
     pub(in crate::transports) async fn exchange(
         &self,
         mut stream: TcpStream,
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -32,7 +32,7 @@
     },
 }
 
-/// The routes to all replicas, direct or over links, and the attempts on them. Clones share their state.
+/// Sends attempts and probes to all replicas, directly or over links. Clones share their state.
 #[derive(Clone)]
 pub struct Transports(Rc<Inner>);
 
@@ -52,7 +52,7 @@
     last_peer: Option<usize>,
 }
 
-/// The link selected for a replica; `peer` is `None` where no link is up.
+/// The link selected for a replica; `peer` is `None` if no link is usable and has capacity.
 struct SelectedLink {
     peer: Option<link::Peer>,
     replica_id: Rc<str>,
@@ -99,7 +99,7 @@
         self.0.direct.close_idle(replica);
     }
 
-    /// Sets the route of all later requests to a replica; with `None`, they are not sent.
+    /// Sets the route for later requests to a replica. Without a route, they are reported as not sent.
     pub fn set_route(&self, replica: ReplicaIndex, route: Option<Route>) {
         let mut remote = self.0.remote.borrow_mut();
         remote.remove(&replica);
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -38,9 +38,9 @@
     endpoints: RefCell<Vec<Endpoint>>,
     connection_count: Cell<usize>,
     next_attempt_number: Cell<u64>,
-    /// For the lines about connections that are not opened because the pool is full.
+    /// Limits the log lines about connections that are not opened because the pool is full.
     full_log_limit: LogRateLimit,
-    /// For the lines about failed connections.
+    /// Limits the log lines about failed connections.
     failure_log_limit: LogRateLimit,
 }
 
@@ -182,8 +182,9 @@
             let fits = in_flight == 0 || in_flight + additional <= config.max_streams;
             fits && connection.is_usable() && is_suitable(connection)
         };
-        // The fewest requests in flight, since requests accumulate on a connection that is stuck. Among equals the
-        // most recently read one, so that the others reach their idle time-out.
+        // Connections with a partly read frame come last. Of the others, the one with the fewest requests in flight is
+        // preferred, since requests accumulate on a connection that is stuck; among equals the most recently read one,
+        // so that the others reach their idle time-out.
         let rank = |connection: &&Rc<Connection>| {
             (
                 connection.is_mid_frame(),
