--- a/crates/linenthread-service/src/coordinator_driver/decision.rs
+++ b/crates/linenthread-service/src/coordinator_driver/decision.rs
@@ -1,4 +1,4 @@
-//! What passes on the decisions of one step.
+//! Dispatches the decisions of one step.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
@@ -11,7 +11,8 @@
 use super::query_table::QueryTable;
 use crate::transports::Transports;
 
-/// Passes on the decisions of one step: those on a query to its task, the others to the driver's own parts.
+/// Dispatches the decisions of one step: those on a query to the query's task, the others to the transports and to
+/// parts of the driver.
 pub(super) struct StepDecisions<'a> {
     pub(super) transports: &'a Transports,
     pub(super) membership_requested: &'a Notify,
@@ -35,7 +36,7 @@
             replica,
             timeout,
         };
-        self.queries.pass_on(query, decision);
+        self.queries.send_decision(query, decision);
     }
 
     fn cancel(&mut self, query: QueryIndex, sub_request: SubRequestIndex, attempt: usize) {
@@ -43,21 +44,21 @@
             sub_request,
             attempt,
         };
-        self.queries.pass_on(query, decision);
+        self.queries.send_decision(query, decision);
     }
 
     fn respond(&mut self, query: QueryIndex, completeness: Completeness) {
         self.queries
-            .pass_on(query, QueryDecision::Respond { completeness });
+            .send_decision(query, QueryDecision::Respond { completeness });
     }
 
     fn reject(&mut self, query: QueryIndex, retry_after: Option<TenthMillis>) {
         self.queries
-            .pass_on(query, QueryDecision::Reject { retry_after });
+            .send_decision(query, QueryDecision::Reject { retry_after });
     }
 
     fn fail(&mut self, query: QueryIndex) {
-        self.queries.pass_on(query, QueryDecision::Fail);
+        self.queries.send_decision(query, QueryDecision::Fail);
     }
 
     fn release(&mut self, query: QueryIndex) {
--- a/crates/linenthread-service/src/frontends/http/mod.rs
+++ b/crates/linenthread-service/src/frontends/http/mod.rs
@@ -1,5 +1,5 @@
-//! The frontend that speaks the platform's HTTP/1.1: which clients' connections are accepted, kept and closed, and
-//! its graceful shutdown.
+//! The frontend for the platform's HTTP/1.1 protocol: accepts, closes and evicts client connections, and shuts down
+//! gracefully.
 
 mod connection;
 mod request;
@@ -25,47 +25,47 @@
 use connection::ClientConnection;
 use stream::ClientStream;
 
-/// How long a request may take to arrive: from the connect for the first, else from its first byte.
+/// How long a request may take to arrive, from the connect for the first request and from its first byte for others.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How often connections are checked for idleness.
+/// Interval between checks for idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a client may take to read its response.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long idle connections stay open once the shutdown has begun, as clients still use them.
+/// How long idle connections stay open after the shutdown has begun, since clients may still send requests on them.
 const IDLE_TIMEOUT_WHILE_STOPPING: Duration = Duration::from_millis(600);
-/// How long new connections are accepted once the shutdown has begun; each serves one request.
+/// How long new connections are accepted after the shutdown has begun; each serves one request.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(1_200);
-/// How long a full frontend waits for a connection to close before it evicts another.
-const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// The pause after a failed accept.
+/// How long a frontend at its maximum of connections waits for one to close before it evicts another.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 struct Inner {
     context: Rc<QueryContext>,
     clients: RefCell<Vec<Rc<ClientConnection>>>,
-    /// Client connections at once.
+    /// Maximum number of open client connections.
     max_connections: usize,
-    /// Connections at once that have had an answer and send no further request.
-    max_spent: usize,
+    /// Maximum number of open connections that are idle after a response.
+    max_idle_after_response: usize,
     is_stopping: Cell<bool>,
-    /// A connection has closed.
+    /// Notified when a connection has closed.
     closed: Notify,
-    error_lines: LogRateLimit,
-    accept_lines: LogRateLimit,
-    full_lines: LogRateLimit,
+    error_log_limit: LogRateLimit,
+    accept_log_limit: LogRateLimit,
+    eviction_log_limit: LogRateLimit,
 }
 
 /// Serves queries over HTTP.
 #[derive(Clone)]
 pub(crate) struct HttpFrontend(Rc<Inner>);
 
-/// A connection that counts among the frontend's. Dropping it is the only way to release its place.
-struct AdmittedClient {
+/// A connection that counts towards the maximum. It is removed from the frontend's connections only by dropping this.
+struct ClientRegistration {
     frontend: HttpFrontend,
     client: Rc<ClientConnection>,
 }
 
-impl Drop for AdmittedClient {
+impl Drop for ClientRegistration {
     fn drop(&mut self) {
         let inner = &self.frontend.0;
         let mut clients = inner.clients.borrow_mut();
@@ -75,37 +75,42 @@
 }
 
 impl HttpFrontend {
-    /// `max_connections` bounds clients' connections, and `max_spent` those of them that have had an answer and
-    /// send no further request.
-    pub(crate) fn new(context: Rc<QueryContext>, max_connections: usize, max_spent: usize) -> Self {
+    /// `max_connections` limits the open client connections, and `max_idle_after_response` those of them that are
+    /// idle after a response.
+    pub(crate) fn new(
+        context: Rc<QueryContext>,
+        max_connections: usize,
+        max_idle_after_response: usize,
+    ) -> Self {
         HttpFrontend(Rc::new(Inner {
             context,
             clients: RefCell::default(),
             max_connections,
-            max_spent,
+            max_idle_after_response,
             is_stopping: Cell::new(false),
             closed: Notify::new(),
-            error_lines: LogRateLimit::default(),
-            accept_lines: LogRateLimit::default(),
-            full_lines: LogRateLimit::default(),
+            error_log_limit: LogRateLimit::default(),
+            accept_log_limit: LogRateLimit::default(),
+            eviction_log_limit: LogRateLimit::default(),
         }))
     }
 
-    /// Accepts connections for as long as it is polled. When full, it evicts idle ones first.
+    /// Accepts connections for as long as it is polled. At the maximum of connections, it first evicts one without a
+    /// complete request.
     pub(crate) async fn accept(&self, listener: &TcpListener) {
         loop {
             if self.0.clients.borrow().len() >= self.0.max_connections {
                 self.evict_one();
                 tokio::select! {
                     () = self.0.closed.notified() => {}
-                    () = sleep(FULL_RETRY_INTERVAL) => {}
+                    () = sleep(EVICTION_INTERVAL) => {}
                 }
                 continue;
             }
             match listener.accept().await {
-                Ok((stream, _)) => self.admit(stream),
+                Ok((stream, _)) => self.add_connection(stream),
                 Err(e) => {
-                    if let Some(suppressed) = self.0.accept_lines.admit() {
+                    if let Some(suppressed) = self.0.accept_log_limit.admit() {
                         warn!(suppressed, "cannot accept a connection: {e}");
                     }
                     self.evict_one();
@@ -115,28 +120,29 @@
         }
     }
 
-    /// Shuts down gracefully: accepts what still arrives for a moment, then answers all that was accepted.
+    /// Shuts down gracefully: accepts new connections for [`ACCEPT_WHILE_STOPPING`], then answers the remaining
+    /// requests of all accepted connections.
     pub(crate) async fn stop(&self, listener: TcpListener) {
         info!(
             clients = self.0.clients.borrow().len(),
             "shutting down, accepting connections a moment longer"
         );
         self.0.is_stopping.set(true);
-        let began = Instant::now();
+        let stopping_since = Instant::now();
         for after in [IDLE_TIMEOUT_WHILE_STOPPING, ACCEPT_WHILE_STOPPING] {
             tokio::select! {
                 () = self.accept(&listener) => {}
-                () = sleep_until(began + after) => {}
+                () = sleep_until(stopping_since + after) => {}
             }
             self.close_idle();
         }
-        // What the system has accepted for this program by now is still served.
+        // Connections that the operating system has queued by now are still served.
         while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-            self.admit(stream);
+            self.add_connection(stream);
         }
         drop(listener);
         while !self.0.clients.borrow().is_empty() {
-            // Repeatedly: a request may become overdue only now.
+            // Repeated, since a request may become overdue in the meantime.
             tokio::select! {
                 () = self.0.closed.notified() => {}
                 () = sleep(ACCEPT_WHILE_STOPPING) => self.close_idle(),
@@ -145,48 +151,50 @@
         info!("shutdown complete, every accepted request is answered");
     }
 
-    /// Closes connections that are idle for too long, for as long as it is polled.
+    /// Closes connections that are idle for too long, and those beyond the maximum that may be idle after a response,
+    /// for as long as it is polled.
     pub(crate) async fn sweep(&self) {
         let mut ticks = interval(SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
-            self.close_overdue();
-            self.close_spent();
+            self.close_timed_out();
+            self.close_excess_idle();
         }
     }
 
-    /// Closes connections that have been idle for longer than they are kept.
-    fn close_overdue(&self) {
+    fn close_timed_out(&self) {
         let clients = self.0.clients.borrow();
-        let is_crowded = clients.len() > self.0.max_connections / 2;
+        let is_over_half_full = clients.len() > self.0.max_connections / 2;
         clients
             .iter()
-            .filter(|client| client.is_idle_too_long(is_crowded))
+            .filter(|client| client.has_timed_out(is_over_half_full))
             .for_each(|client| client.close());
     }
 
-    /// Closes all but the last used of the connections that were answered and send no further request: clients that
-    /// send one request and stay would use up the connections of those that have requests.
-    fn close_spent(&self) {
+    /// Closes the least recently used connections beyond the maximum that may be idle after a response. Otherwise,
+    /// clients that stay connected after one request would use up the connections of clients that have requests.
+    fn close_excess_idle(&self) {
         let clients = self.0.clients.borrow();
-        let mut spent: Vec<_> = clients.iter().filter(|client| client.is_spent()).collect();
-        spent.sort_by_key(|client| Reverse(client.since()));
-        spent
+        let mut idle: Vec<_> = clients
             .iter()
-            .skip(self.0.max_spent)
+            .filter(|client| client.is_idle_after_response())
+            .collect();
+        idle.sort_by_key(|client| Reverse(client.since()));
+        idle.iter()
+            .skip(self.0.max_idle_after_response)
             .for_each(|client| client.close());
     }
 
-    /// Closes all connections once they are idle.
+    /// Closes each connection as soon as it is idle.
     fn close_idle(&self) {
         for client in self.0.clients.borrow().iter() {
             client.close();
         }
     }
 
-    /// Closes the connection that has been without a complete request for longest.
+    /// Evicts the connection that has been without a complete request for longest.
     fn evict_one(&self) {
-        if let Some(suppressed) = self.0.full_lines.admit() {
+        if let Some(suppressed) = self.0.eviction_log_limit.admit() {
             warn!(
                 max = self.0.max_connections,
                 suppressed, "too many client connections, closing the longest without a request"
@@ -194,23 +202,23 @@
         }
         let clients = self.0.clients.borrow();
         let candidates = clients.iter().filter(|client| client.may_be_evicted());
-        // One that has only just connected goes last: its request may be on the way.
+        // New connections are evicted last, since their first request may still be in transit.
         if let Some(client) = candidates.min_by_key(|client| (client.is_new(), client.since())) {
             client.evict();
         }
     }
 
-    /// Serves one connection in a task of its own.
-    fn admit(&self, stream: TcpStream) {
+    /// Adds a connection and spawns a task that serves it.
+    fn add_connection(&self, stream: TcpStream) {
         let client = Rc::new(ClientConnection::new());
         self.0.clients.borrow_mut().push(client.clone());
-        let admitted = AdmittedClient {
+        let registration = ClientRegistration {
             frontend: self.clone(),
             client: client.clone(),
         };
         actix_rt::spawn(async move {
-            admitted.frontend.serve(stream, client).await;
-            drop(admitted);
+            registration.frontend.serve(stream, client).await;
+            drop(registration);
         });
     }
 
@@ -241,7 +249,7 @@
             io: stream,
             connection,
         };
-        // However a connection ends, its request was answered or is reported as abandoned.
+        // The error needs no handling: each request was answered, or its query's task was notified of the disconnect.
         service.call((stream, Some(address))).await.ok();
     }
 }
--- a/crates/linenthread-service/src/frontends/http/stream.rs
+++ b/crates/linenthread-service/src/frontends/http/stream.rs
@@ -1,4 +1,4 @@
-//! The stream of a client's connection: reads no more than the state of the connection allows.
+//! The stream of a client connection, which reads only as much as the state of the connection allows.
 
 use std::io;
 use std::pin::Pin;
@@ -10,22 +10,25 @@
 
 use super::connection::ClientConnection;
 
-/// The stream of a client's connection. When it is to close, it ends between requests as if the client had closed
-/// it, and never with a request unread. While a request awaits its response nothing more is read, only whether the
-/// client has left, so that further requests do not pile up here. A request that arrives in one piece with
-/// something that does not parse would be dropped by actix-http unless half-closed connections were allowed.
+/// The stream of a client connection.
+///
+/// To close the connection, the stream ends as if the client had closed it, but only once everything that has arrived
+/// is read: between requests, or within a request that is overdue or whose connection is evicted. While a request
+/// awaits its response, the stream reads nothing and only detects whether the client disconnects, so that further
+/// requests do not accumulate. The service must allow half-closed connections; otherwise actix-http would drop a
+/// request that is read together with input that cannot be parsed.
 pub(super) struct ClientStream {
     pub(super) io: TcpStream,
     pub(super) connection: Rc<ClientConnection>,
 }
 
 impl ClientStream {
-    /// Notices whether the client leaves, and reads nothing.
-    fn poll_client_left(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.connection.set_reader(cx.waker());
+    /// Detects whether the client has disconnected, without reading anything.
+    fn poll_client_disconnected(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.connection.set_read_waker(cx.waker());
         match self.io.poll_peek(cx, &mut ReadBuf::new(&mut [0])) {
             Poll::Ready(Ok(0)) => {
-                self.connection.on_client_left();
+                self.connection.on_client_disconnected();
                 Poll::Ready(Ok(()))
             }
             Poll::Ready(Ok(_)) | Poll::Pending => Poll::Pending,
@@ -44,7 +47,7 @@
             return Poll::Ready(Ok(()));
         }
         if self.connection.awaits_response() {
-            return self.poll_client_left(cx);
+            return self.poll_client_disconnected(cx);
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
@@ -53,10 +56,10 @@
             connection.on_request_bytes();
         }
         if read.is_pending() {
-            if connection.is_ending() {
+            if connection.must_close() {
                 return Poll::Ready(Ok(()));
             }
-            connection.set_reader(cx.waker());
+            connection.set_read_waker(cx.waker());
         }
         read
     }
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -1,5 +1,5 @@
-//! Links to gateways: sub-requests to replicas that only a gateway in another site reaches. The state machine
-//! in `linenthread-link` decides; this module passes inputs to it and performs its actions.
+//! Links to gateways, which carry sub-requests to replicas that only a gateway in another site can reach. The state
+//! machine in `linenthread-link` makes the decisions; this module passes inputs to it and performs its actions.
 
 mod connection;
 mod frame_writer;
@@ -24,11 +24,11 @@
 use crate::log::LogRateLimit;
 use crate::transports::attempt::{OutcomeReporter, OutcomeSender, OutgoingSubRequest, ProbeReport};
 
-/// A change of what a link reaches.
+/// A change of the replicas behind a link, or of the link's availability.
 pub(crate) enum LinkEvent {
     /// The replicas behind the link have changed.
     Members(MembersReport),
-    /// Whether the link accepts calls has changed.
+    /// The link has started or stopped accepting calls.
     Availability(LinkAvailability),
 }
 
@@ -37,18 +37,18 @@
     address: SocketAddr,
     clock: Clock,
     client: RefCell<LinkClient>,
-    /// Calls that wait for their outcome.
+    /// Calls that have no outcome yet.
     calls: RefCell<BTreeMap<CallId, OutcomeReporter>>,
     probes: RefCell<BTreeMap<ProbeId, oneshot::Sender<ProbeReport>>>,
     outgoing: RefCell<VecDeque<Frame>>,
-    /// The client wants to connect.
+    /// Whether the state machine has requested a connect.
     connect_requested: Cell<bool>,
-    /// The client wants to close the connection.
+    /// Why the state machine has requested to close the connection, if it has.
     close_reason: RefCell<Option<ClientCloseReason>>,
     /// Wakes the link's task.
     wake: Notify,
     events: mpsc::UnboundedSender<LinkEvent>,
-    log_lines: LogRateLimit,
+    log_limit: LogRateLimit,
 }
 
 /// The link to one peer.
@@ -62,8 +62,11 @@
 }
 
 impl InFlightAttempt {
-    /// Nothing: a link judges its connection by heartbeats, and not by its calls.
-    #[expect(clippy::unused_self, reason = "attempts of both kinds are told")]
+    /// Does nothing: a link monitors its connection by heartbeats and not by the time-outs of calls.
+    #[expect(
+        clippy::unused_self,
+        reason = "same interface as an attempt on a direct connection"
+    )]
     pub(in crate::transports) fn on_timeout(&self) {}
 }
 
@@ -72,7 +75,7 @@
         let pending = self.peer.0.calls.borrow_mut().remove(&self.id);
         if pending.is_some() {
             self.peer
-                .act(|client, _, actions| client.withdraw(self.id, actions));
+                .step(|client, _, actions| client.withdraw(self.id, actions));
         }
     }
 }
@@ -84,12 +87,12 @@
     pub address: SocketAddr,
     pub secrets: Secrets,
     pub client: ClientConfig,
-    /// The seed of the reconnects' random delays.
+    /// The seed of the random delays before reconnects.
     pub seed: u64,
 }
 
 impl Peer {
-    /// Starts a link that is kept up from now on, and reports what it reaches to `events`.
+    /// Starts a link, which reconnects whenever it is lost and reports changes to `events`.
     pub(crate) fn start(
         config: LinkConfig,
         clock: Clock,
@@ -107,19 +110,19 @@
             close_reason: RefCell::default(),
             wake: Notify::new(),
             events,
-            log_lines: LogRateLimit::default(),
+            log_limit: LogRateLimit::default(),
         }));
         actix_rt::spawn(peer.clone().run());
         peer
     }
 
-    /// Whether the link is usable, and its capacity.
+    /// Returns whether the link is usable, and its capacity.
     pub(crate) fn status(&self) -> LinkStatus {
         self.0.client.borrow().status()
     }
 
     /// Passes an input to the state machine, and performs the actions that it returns.
-    fn act(&self, input: impl FnOnce(&mut LinkClient, TenthMillis, &mut Vec<ClientAction>)) {
+    fn step(&self, input: impl FnOnce(&mut LinkClient, TenthMillis, &mut Vec<ClientAction>)) {
         let mut actions = Vec::new();
         input(
             &mut self.0.client.borrow_mut(),
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Reports a change to the log and to the coordinator driver.
+    /// Logs a change of availability and reports it to the coordinator driver.
     fn report_availability(&self, availability: LinkAvailability) {
         match availability {
             LinkAvailability::Up => info!(peer = self.0.name, "link up"),
@@ -179,7 +182,7 @@
         self.0.events.send(event).ok();
     }
 
-    /// Sends sub-requests of one query to one replica, each as a call of its own.
+    /// Sends sub-requests of one query to one replica, each as a separate call.
     pub(crate) fn send(
         &self,
         replica_id: &str,
@@ -210,8 +213,8 @@
         outcomes: &OutcomeSender,
     ) -> InFlightAttempt {
         let mut id = CallId(0);
-        // The call may complete at once: it is registered before its actions are performed.
-        self.act(|client, now, actions| {
+        // The call may complete at once, so it is registered before the actions are performed.
+        self.step(|client, now, actions| {
             id = client.call(now, call, deadline, outgoing.priority, actions);
             let reporter = OutcomeReporter::new(outgoing.key, outcomes);
             self.0.calls.borrow_mut().insert(id, reporter);
@@ -222,17 +225,17 @@
         }
     }
 
-    /// Probes a replica behind the link for its health and load.
+    /// Probes the health and load of a replica behind the link.
     pub(crate) async fn probe(&self, replica_id: &str, wait: Duration) -> ProbeReport {
         let (report, response) = oneshot::channel();
-        self.act(|client, _, actions| {
+        self.step(|client, _, actions| {
             let id = client.probe(replica_id.to_owned(), actions);
             self.0.probes.borrow_mut().insert(id, report);
         });
         match timeout(wait, response).await {
             Ok(Ok(report)) => report,
-            Ok(Err(_)) => ProbeReport::without_load(AttemptOutcome::ConnectionLost),
-            Err(_) => ProbeReport::without_load(AttemptOutcome::TimedOut),
+            Ok(Err(_)) => ProbeReport::without_queue_depth(AttemptOutcome::ConnectionLost),
+            Err(_) => ProbeReport::without_queue_depth(AttemptOutcome::TimedOut),
         }
     }
 }
