--- a/crates/linenthread-service/src/cli.rs
+++ b/crates/linenthread-service/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its commands, their options and their help.
+//! Parses the command line.
 
 use std::path::PathBuf;
 
@@ -8,41 +8,41 @@
 use crate::migrate::MigrateOptions;
 use crate::zones_command::ZonesAction;
 
-/// What the process is to do.
+/// A command of the program, with its options.
 #[derive(Clone)]
 pub enum Command {
     /// Serve queries.
     Serve {
         /// The platform's configuration file.
         config: Option<PathBuf>,
-        /// The operators' own file.
+        /// The installation file.
         installation: Option<PathBuf>,
     },
-    /// Check a configuration as `Serve` would read it.
+    /// Validate the files that `Serve` would read.
     Check {
         /// The platform's configuration file.
         config: PathBuf,
-        /// The operators' own file.
+        /// The installation file.
         installation: Option<PathBuf>,
     },
     /// Print the schema of the installation file.
     Schema,
-    /// Migrate a configuration to sets of replicas.
+    /// Convert a configuration to replica sets.
     Migrate(MigrateOptions),
     /// Run a demo on this machine.
     Try(DemoOptions),
-    /// Show the routing table of the fleet, drain a zone or take it back.
+    /// Show the fleet's routing table, drain a zone or restore one.
     Zones {
-        /// The operators' own file, which names the fleet.
+        /// The installation file, which names the fleet.
         installation: PathBuf,
-        /// What is asked of the fleet.
+        /// The action to carry out.
         action: ZonesAction,
     },
     /// Print the version.
     Version,
 }
 
-/// The parser of the whole command line.
+/// Returns the parser of the command line.
 pub fn command() -> OptionParser<Command> {
     let serve = serve();
     let check = check();
@@ -59,7 +59,7 @@
 
 fn installation() -> impl Parser<Option<PathBuf>> {
     long("installation")
-        .help("The operators' own file, as XML; what it switches on is off without it")
+        .help("The installation file, as XML; without it, the features that it enables are off")
         .argument::<PathBuf>("FILE")
         .optional()
 }
@@ -77,7 +77,7 @@
     })
         .to_options()
         .descr(
-            "Serves queries until SIGTERM or SIGINT, then completes those in flight; SIGHUP reloads its files",
+            "Serves queries until SIGTERM or SIGINT, then completes those in flight; SIGHUP reloads the files",
         )
         .footer("Example: linenthread serve --config config.json --installation deploy/installation.xml")
         .command("serve")
@@ -93,8 +93,8 @@
     })
         .to_options()
         .descr(
-            "Validates a configuration as serve would read it, and the operators' file beside it; prints in one line \
-             what is invalid, with file and line, and exits with 2",
+            "Validates the configuration and the installation file that serve would read; if one is invalid, prints \
+             one line with the file, the line and the reason, and exits with 2",
         )
         .footer("Example: linenthread check config.json --installation deploy/installation.xml")
         .command("check")
@@ -104,15 +104,15 @@
 fn schema() -> impl Parser<Command> {
     pure(Command::Schema)
         .to_options()
-        .descr("Prints the schema (XSD) of the operators' file")
+        .descr("Prints the schema (XSD) of the installation file")
         .footer("Example: linenthread schema > installation.xsd")
         .command("schema")
-        .help("Print the schema of the operators' file")
+        .help("Print the schema of the installation file")
 }
 
 fn migrate() -> impl Parser<Command> {
     let dry_run = long("dry-run")
-        .help("Print what would be written and left out, and write nothing")
+        .help("Print what would be written and omitted, and write nothing")
         .switch();
     let output = long("output")
         .help("The new file; it must not exist")
@@ -123,13 +123,13 @@
         .map(Command::Migrate)
         .to_options()
         .descr(
-            "Converts a configuration for sets of replicas that report no load; each set is made of neighbouring \
-             cells. Lists the shards that each replica must load first, and what was left out. Exit codes: 0, 3 if \
-             something was left out, 2 if nothing can be written",
+            "Converts a configuration to sets of replicas that report no load; each set consists of consecutive \
+             cells. Lists the shards that each replica must load first, and the omitted settings. Exit codes: 0, 3 \
+             if settings were omitted, 2 if nothing can be written",
         )
         .footer("Example: linenthread migrate --dry-run config.json, then --output new.json in its place")
         .command("migrate")
-        .help("Migrate a configuration to sets of replicas")
+        .help("Convert a configuration to replica sets")
 }
 
 fn demo() -> impl Parser<Command> {
@@ -137,7 +137,7 @@
         .help("Send some queries, print their responses and exit")
         .switch();
     let seed = long("seed")
-        .help("The seed of the rows")
+        .help("The seed for the generated rows")
         .argument("S")
         .fallback(5);
     let sites = long("sites")
@@ -146,7 +146,7 @@
         .guard(|n| (1..=2).contains(n), "there are 1 or 2 sites")
         .fallback(1);
     let zones = long("zones")
-        .help("3: co-ordinators in three zones with a common routing table; one zone is killed and comes back")
+        .help("3: co-ordinators in three zones with a common routing table; one zone is killed and restarted")
         .argument::<u8>("N")
         .guard(|n| *n == 3, "there are 3 zones")
         .optional();
@@ -159,17 +159,17 @@
     .map(Command::Try)
         .to_options()
         .descr(
-            "Starts some fake replicas, their service discovery and a co-ordinator with merged indexes on loopback, \
-             and prints the commands to query it",
+            "Starts stub replicas, stub service discovery and a co-ordinator with merged indexes on loopback, and \
+             prints the commands to query it",
         )
         .footer("Example: linenthread try --show")
         .command("try")
-        .help("Run a demo on this machine, with nothing else set up")
+        .help("Run a demo on this machine; it needs no set-up")
 }
 
 fn zones() -> impl Parser<Command> {
     let installation = long("installation")
-        .help("The operators' own file, which names the fleet's voters and its secret")
+        .help("The installation file, which names the fleet's voters and its secret")
         .argument::<PathBuf>("FILE");
     let action = zones_action();
     construct!(Command::Zones {
@@ -177,28 +177,27 @@
         action
     })
     .to_options()
-    .descr("Shows the routing table between zones that the fleet uses, or drains a zone or takes it back")
+    .descr("Shows the fleet's routing table between zones, drains a zone or restores a drained one")
     .footer("Example: linenthread zones --installation deploy/installation.xml drain palermo")
     .command("zones")
-    .help("Show zones, drain one or take it back")
+    .help("Show zones, drain one or restore one")
 }
 
 fn zones_action() -> impl Parser<ZonesAction> {
-    let zone =
-        || positional::<String>("ZONE").help("The zone's name, as the operators' file has it");
+    let zone = || positional::<String>("ZONE").help("The zone's name in the installation file");
     let show = pure(ZonesAction::Show)
         .to_options()
         .descr("Prints the routing table in use")
         .command("show");
     let drain = zone().map(ZonesAction::Drain).to_options();
     let drain = drain
-        .descr("Drains a zone: all co-ordinators stop sending there")
+        .descr("Drains a zone: all co-ordinators stop sending sub-requests to it")
         .command("drain");
-    let back = zone().map(ZonesAction::Return).to_options();
-    let back = back
-        .descr("Takes a drained zone back, step by step")
+    let restore = zone().map(ZonesAction::Return).to_options();
+    let restore = restore
+        .descr("Restores traffic to a drained zone in steps")
         .command("return");
-    construct!([show, drain, back])
+    construct!([show, drain, restore])
 }
 
 fn version() -> impl Parser<Command> {
--- a/crates/linenthread-service/src/clock.rs
+++ b/crates/linenthread-service/src/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock of the coordinator: tenths of a millisecond, monotonic.
+//! The monotonic clock of the coordinator, in tenths of a millisecond.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -9,61 +9,60 @@
     duration_to_tenth_millis as to_tenths, tenth_millis_to_duration as to_duration,
 };
 
-/// The reading at the program's start: one hour, so that 0 lies far in the past.
+/// The clock's reading when it starts: one hour, so that 0 is far in the past.
 const EPOCH: TenthMillis = 36_000_000;
 
-/// Units of the coordinator's time in one millisecond.
 const TENTHS_PER_MILLI: f64 = 10.0;
 
-/// A span of the coordinator's time in milliseconds, with its fraction.
+/// Converts tenths of a millisecond to milliseconds, with the fraction.
 pub(crate) fn to_millis(tenths: TenthMillis) -> f64 {
     tenths as f64 / TENTHS_PER_MILLI
 }
 
-/// A duration in whole milliseconds, rounded up: a time-out as the wire has it.
+/// Converts a duration to whole milliseconds, rounded up, for time-outs in messages.
 pub(crate) fn to_millis_ceil(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros().div_ceil(1000)).unwrap_or(u64::MAX)
 }
 
-/// Monotonic time in the coordinator's unit, with the system's time at the start for conversions.
+/// A monotonic clock in tenths of a millisecond. It records the system time of its start, to convert system times to
+/// its readings.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     start: Instant,
-    unix_ms: f64,
+    start_unix_ms: f64,
 }
 
 impl Clock {
-    /// Starts the clock.
     pub(crate) fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
             start: Instant::now(),
-            unix_ms: unix.as_secs_f64() * 1000.0,
+            start_unix_ms: unix.as_secs_f64() * 1000.0,
         }
     }
 
-    /// The current reading.
+    /// Returns the current reading.
     pub(crate) fn now(&self) -> TenthMillis {
         EPOCH + to_tenths(self.start.elapsed())
     }
 
-    /// The runtime's instant of a reading.
+    /// Converts a reading to an instant of the runtime.
     pub(crate) fn at(&self, reading: TenthMillis) -> Instant {
         self.start + to_duration(reading - EPOCH)
     }
 
-    /// The reading at a system time, given in milliseconds since 1970.
+    /// Converts a system time, in milliseconds since the Unix epoch, to a reading.
     pub(crate) fn at_unix(&self, unix_ms: f64) -> TenthMillis {
-        EPOCH + round((unix_ms - self.unix_ms) * TENTHS_PER_MILLI)
+        EPOCH + round((unix_ms - self.start_unix_ms) * TENTHS_PER_MILLI)
     }
 }
 
-/// The nearest whole number of the coordinator's unit.
+/// Rounds to the nearest tenth of a millisecond.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "it is rounded; the cast saturates, and times that anybody means are far below its limits"
+    reason = "the value is rounded; the cast saturates, and realistic times are far below its limits"
 )]
 fn round(tenths: f64) -> TenthMillis {
     tenths.round() as TenthMillis
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file, which a co-ordinator reads at its start.
+//! Reads and validates the platform's configuration file.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,16 +11,17 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 use tracing::{info, warn};
 
-/// Fewer descriptors than this leave no room for clients beside replicas and service discovery.
+/// Minimum number of file descriptors: with fewer, none are left for clients after those of replicas and service
+/// discovery.
 const MIN_SOCKETS: usize = 64;
 
-/// Why a configuration cannot be used. Each message is one line and names the field.
+/// The reason why a configuration is invalid. Each message is one line and names the field.
 #[derive(Debug, Snafu)]
 pub enum ConfigError {
-    /// It is not JSON.
+    /// The text is not valid JSON.
     #[snafu(display("does not parse: {source}"))]
     Parse {
-        /// What is wrong with it.
+        /// The parser's error.
         source: serde_json::Error,
     },
     /// A required field is missing.
@@ -29,7 +30,7 @@
         /// The field.
         field: &'static str,
     },
-    /// A field is not a text.
+    /// A field is not a string.
     #[snafu(display("{field} is not a string"))]
     NotText {
         /// The field.
@@ -41,22 +42,22 @@
         /// The field.
         field: &'static str,
     },
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number.
     #[snafu(display("seed is not hexadecimal"))]
     Seed {
-        /// What is wrong with it.
+        /// The parser's error.
         source: std::num::ParseIntError,
     },
-    /// The process may use too few descriptors to serve.
+    /// The limit of file descriptors is too low for the process to serve clients.
     #[snafu(display("limits.sockets is not a number of at least {MIN_SOCKETS}"))]
     TooFewSockets,
-    /// The settings of the decision module cannot be used.
+    /// A setting of the decision module, the replicas or the connections to them is invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// The setting, and what is wrong with it.
+        /// The setting and the reason.
         source: SettingsError,
     },
-    /// An index needs a second step, for which replicas have no protocol.
+    /// An index has a fetch step, which the protocol between co-ordinators and replicas does not support.
     #[snafu(display(
         "settings: family-info.fetch-parts: index {index} has a second step, which the protocol does not support"
     ))]
@@ -64,15 +65,15 @@
         /// The index's position in the settings.
         index: usize,
     },
-    /// The remembered list of replicas cannot be used.
+    /// The cached list of replicas is invalid.
     #[snafu(display("known: {source}"))]
     Members {
-        /// What is wrong with it.
+        /// The decoder's error.
         source: MembershipError,
     },
 }
 
-/// Why a configuration file cannot be used. Each message is one line and names the file.
+/// The reason why a configuration file cannot be used. Each message is one line and names the file.
 #[derive(Debug, Snafu)]
 pub enum ConfigFileError {
     /// The file cannot be read.
@@ -80,15 +81,15 @@
     Read {
         /// The file.
         file: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Its text cannot be used.
+    /// The file's contents are invalid.
     #[snafu(display("{}: {source}", file.display()))]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// The field, and what is wrong with it.
+        /// The field and the reason.
         source: ConfigError,
     },
 }
@@ -98,15 +99,15 @@
 pub struct Config {
     /// The process's name.
     pub name: String,
-    /// Where it accepts clients.
+    /// The address on which it accepts clients.
     pub listen: SocketAddr,
-    /// Address of service discovery.
+    /// The address of service discovery.
     pub discovery: SocketAddr,
     /// The seed of all random numbers of the process.
     pub seed: u64,
-    /// Descriptors that the process may use.
+    /// The number of file descriptors that the process may use.
     pub sockets: usize,
-    /// Replicas to begin with, until service discovery answers.
+    /// The replicas to use until service discovery responds.
     pub cached_membership: membership::MembershipList,
     /// Settings of the decision module.
     pub coordinator: CoordinatorConfig,
@@ -114,7 +115,7 @@
     pub cluster: ClusterConfig,
 }
 
-/// The fields of the file's top level.
+/// The top-level fields of the file.
 struct Fields<'a>(&'a Value);
 
 impl<'a> Fields<'a> {
@@ -133,21 +134,21 @@
 }
 
 impl Config {
-    /// Reads the file.
+    /// Reads a configuration file.
     ///
     /// # Errors
     ///
-    /// One line that names the file and the field.
+    /// Returns an error if the file cannot be read or its contents are invalid.
     pub fn read(file: &Path) -> Result<Config, ConfigFileError> {
         let text = std::fs::read(file).context(ReadSnafu { file })?;
         Config::parse(&text).context(InvalidSnafu { file })
     }
 
-    /// Parses the text of a configuration.
+    /// Parses the text of a configuration file.
     ///
     /// # Errors
     ///
-    /// The first field that is missing or has a bad value.
+    /// Returns an error for the first field that is missing or invalid.
     pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
         let root: Value = serde_json::from_slice(text).context(ParseSnafu)?;
         let fields = Fields(&root);
@@ -157,12 +158,12 @@
             .pointer("/limits/sockets")
             .context(MissingSnafu { field })?;
         let settings = fields.value("settings")?;
-        let deployment = terms::coordinator_config(settings).context(SettingsSnafu)?;
-        let mut indexes = deployment.indexes.iter();
+        let coordinator = terms::coordinator_config(settings).context(SettingsSnafu)?;
+        let mut indexes = coordinator.indexes.iter();
         if let Some(index) = indexes.position(|index| index.fetch_sub_requests > 0) {
             return FetchStepSnafu { index }.fail();
         }
-        let replica_groups = deployment.layout.replica_groups;
+        let replica_groups = coordinator.layout.replica_groups;
         Ok(Config {
             name: fields.text("name")?.to_owned(),
             listen: fields.address("listen")?,
@@ -172,12 +173,13 @@
             cached_membership: membership::from_value(fields.value("known")?, replica_groups)
                 .context(MembersSnafu)?,
             cluster: terms::cluster_config(settings).context(SettingsSnafu)?,
-            coordinator: deployment,
+            coordinator,
         })
     }
 
-    /// Reads the file again for a process that runs and gives the address of service discovery. Other changes apply
-    /// at the next start, which the log says. A file that cannot be used changes nothing.
+    /// Reads the file again while the process runs, and returns the address of service discovery, the only change that
+    /// applies at once. Other changes apply at the next start; the log names them. Returns `None` if the file cannot be
+    /// used; the current configuration stays in use then.
     pub fn reload(&self, file: &Path) -> Option<SocketAddr> {
         let new = match Config::read(file) {
             Ok(new) => new,
@@ -195,7 +197,9 @@
                 new.coordinator != self.coordinator || new.cluster != self.cluster,
             ),
         ];
-        let changed = at_next_start.into_iter().filter(|(_, differs)| *differs);
+        let changed = at_next_start
+            .into_iter()
+            .filter(|(_, is_changed)| *is_changed);
         let changed: Vec<_> = changed.map(|(name, _)| name).collect();
         info!(discovery = %new.discovery, at_next_start = changed.join(","), "configuration reloaded");
         Some(new.discovery)
--- a/crates/linenthread-service/src/installation.rs
+++ b/crates/linenthread-service/src/installation.rs
@@ -1,5 +1,5 @@
-//! The installation file, which is the operators' own: read and checked against the platform's configuration, with
-//! the secrets that it names.
+//! Reads the installation file, which the operators maintain, and its secrets, and validates it against the platform's
+//! configuration.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -16,10 +16,10 @@
 use crate::config::Config;
 use crate::merge_responses::MergePlans;
 
-/// Why the installation file, or a secret that it names, cannot be used. Each message is one line.
+/// The reason why the installation file, or a secret that it names, cannot be used. Each message is one line.
 #[derive(Debug, Snafu)]
 pub enum InstallationError {
-    /// The file cannot be read, or its text is not valid.
+    /// The file cannot be read, or its contents are invalid.
     #[snafu(display("{source}"))]
     File {
         /// The file, the line and the cause.
@@ -30,34 +30,34 @@
     ReadSecret {
         /// The file.
         file: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
     /// A secret is too short.
     #[snafu(display("{}: a secret needs {MIN_SECRET_BYTES} bytes or more", file.display()))]
     SecretTooShort {
-        /// Its file.
+        /// The secret's file.
         file: PathBuf,
     },
-    /// The secrets of cursors cannot be used.
+    /// The secrets that sign cursors cannot be used.
     #[snafu(display("{source}"))]
     CursorSecrets {
-        /// What is wrong with them.
+        /// The reason.
         source: linenthread_merge::SecretError,
     },
-    /// The secrets between processes cannot be used.
+    /// The secrets that authenticate connections between processes cannot be used.
     #[snafu(display("{source}"))]
     LinkSecrets {
-        /// What is wrong with them.
+        /// The reason.
         source: linenthread_frames::SecretError,
     },
 }
 
-/// A section of the installation file with the secrets that it names.
+/// A section of the installation file, with its secrets.
 pub struct WithSecrets<T> {
     /// The section.
     pub section: T,
-    /// The secrets of its connections.
+    /// The secrets that authenticate the section's connections.
     pub secrets: Secrets,
 }
 
@@ -68,22 +68,22 @@
     }
 }
 
-/// What the installation file switches on; nothing without one.
+/// The features that the installation file enables. The default, without a file, enables none.
 #[derive(Default)]
 pub struct InstallationSettings {
-    /// The indexes whose responses are merged.
+    /// The merge plans of the indexes whose responses are merged.
     pub merging: MergePlans,
-    /// This process as a gateway for other sites.
+    /// Set if this process is a gateway for other sites.
     pub gateway: Option<WithSecrets<Gateway>>,
-    /// Gateways in other sites.
+    /// The gateways of other sites that this process connects to.
     pub peers: Vec<WithSecrets<Peer>>,
-    /// This process's membership in the fleet.
+    /// Set if this process is a member of a fleet.
     pub fleet: Option<WithSecrets<Fleet>>,
     /// How the fleet distributes traffic over zones.
     pub zones: Option<Zones>,
 }
 
-/// Reads files of one secret each.
+/// Reads one secret from each file, without trailing whitespace.
 fn read_secrets(files: &[PathBuf]) -> Result<Vec<Vec<u8>>, InstallationError> {
     let read = |file: &PathBuf| {
         let secret = std::fs::read(file).context(ReadSecretSnafu { file })?;
@@ -97,21 +97,21 @@
     files.iter().map(read).collect()
 }
 
-/// Reads the secrets between processes.
+/// Reads the secrets that authenticate connections between processes.
 ///
 /// # Errors
 ///
-/// A file cannot be read, or its secret is too short.
+/// Returns an error if a file cannot be read or the secrets cannot be used, such as one that is too short.
 pub(crate) fn link_secrets(files: &[PathBuf]) -> Result<Secrets, InstallationError> {
     Secrets::new(read_secrets(files)?).context(LinkSecretsSnafu)
 }
 
 impl InstallationSettings {
-    /// Reads the installation file against the platform's configuration.
+    /// Reads the installation file and validates it against the platform's configuration.
     ///
     /// # Errors
     ///
-    /// One line: file, line in it and cause.
+    /// Returns an error if the file is invalid or a secret cannot be used.
     pub fn read(file: &Path, config: &Config) -> Result<InstallationSettings, InstallationError> {
         let index_names = &config.cluster.index_names;
         let known = |name: &str| {
@@ -142,8 +142,8 @@
         })
     }
 
-    /// Reads the file again for a process that runs. The plans to merge responses apply at once, all else from the
-    /// next start on. A file that cannot be used changes nothing.
+    /// Reads the file again while the process runs, and returns the merge plans, which apply at once; other changes
+    /// apply at the next start. Returns `None` if the file cannot be used; the current settings stay in use then.
     pub(crate) fn reload(file: &Path, config: &Config) -> Option<Rc<MergePlans>> {
         match InstallationSettings::read(file, config) {
             Ok(new) => {
@@ -161,7 +161,7 @@
     }
 }
 
-/// The plan of each index, in the order of the configuration, and the signer of cursors.
+/// Collects the plan of each index, in the order of the configuration, and creates the signer of cursors.
 fn merge_plans(
     read: &Installation,
     index_names: &[String],
--- a/crates/linenthread-service/src/lib.rs
+++ b/crates/linenthread-service/src/lib.rs
@@ -1,14 +1,14 @@
-//! The linenthread co-ordinator on sockets: one process that sends clients' queries to replicated shards.
+//! The linenthread co-ordinator: a process that accepts clients' queries and sends them to replicated shards.
 //!
-//! A query passes through these modules: `frontends` decodes it, `query` runs it, `coordinator_driver` has the decision
-//! module (`linenthread-core`) decide on it, [`transports`] carries its sub-requests to replicas, and `merge_responses`
-//! builds the body of its response. [`serve`] puts them together; `fleet` and `zone_routing` are this process's part in
-//! decisions that several co-ordinators take in common.
+//! A query passes through these modules: `frontends` decodes it, `query` runs it, `coordinator_driver` passes its
+//! events to the decision module (`linenthread-core`), [`transports`] sends its sub-requests to replicas, and
+//! `merge_responses` builds the body of its response. [`serve`] connects these modules; `fleet` and `zone_routing`
+//! implement this process's part in the decisions that several co-ordinators make together.
 //!
 //! Start reading at [`serve::serve`], which starts every task of the process; then follow one query from
 //! `frontends/http/response.rs` (`respond_to_query`) to `query/task.rs` (`QueryTask::run`).
 //!
-//! The program `linenthread` is `main.rs`: the commands of [`cli`], each of which is a module here.
+//! The program `linenthread` is `main.rs`. It runs the commands of [`cli`]; each has a module in this crate.
 
 pub mod cli;
 mod clock;
--- a/crates/linenthread-service/src/log.rs
+++ b/crates/linenthread-service/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: where its lines go, and the rate limit of lines that clients or peers can bring about.
+//! Sets up the log, and limits the rate of log lines that clients or peers can cause.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -7,22 +7,22 @@
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
 
-/// Lines of one kind that are written in a second; the rest are counted.
+/// Lines of one kind that are written in a second; further lines are only counted.
 const MAX_LINES_PER_SECOND: u32 = 5;
 
-/// The names of the program and of this project's libraries begin so.
-const OWN_CRATES: &str = "linenthread";
+/// Common prefix of the names of this project's crates.
+const CRATE_PREFIX: &str = "linenthread";
 
-/// Starts the log on standard error. Failures to write it are ignored, as a log that nobody reads any more must not end
-/// the process. Lines of libraries are left out: bad input could bring them about without bound.
+/// Starts logging to standard error. Write errors are ignored, so that the process survives when the reader of its log
+/// is gone. Lines from third-party crates are dropped: invalid input could cause an unlimited number of them.
 pub fn start() {
     let lines = tracing_subscriber::fmt::layer()
         .with_ansi(false)
         .with_target(false)
         .with_writer(std::io::stderr);
-    let own = Targets::new().with_target(OWN_CRATES, LevelFilter::INFO);
+    let own_crates = Targets::new().with_target(CRATE_PREFIX, LevelFilter::INFO);
     tracing_subscriber::registry()
-        .with(lines.log_internal_errors(false).with_filter(own))
+        .with(lines.log_internal_errors(false).with_filter(own_crates))
         .init();
 }
 
@@ -44,7 +44,8 @@
 }
 
 impl LogRateLimit {
-    /// Whether a line may be written now; if so, how many were suppressed before it.
+    /// Counts a line; if it may be written, returns the number of lines that were suppressed in the previous period and
+    /// not reported yet. Returns `None` if the line must be suppressed.
     pub(crate) fn admit(&self) -> Option<u32> {
         let mut suppressed = 0;
         if self.since.get().elapsed() >= Duration::from_secs(1) {
--- a/crates/linenthread-service/src/main.rs
+++ b/crates/linenthread-service/src/main.rs
@@ -1,4 +1,4 @@
-//! `linenthread`: a co-ordinator of queries over replicated shards, on sockets.
+//! `linenthread`: co-ordinates queries over replicated shards.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,10 +10,10 @@
 use linenthread_service::{demo, log, migrate, zones_command};
 use snafu::{OptionExt, Snafu};
 
-/// Exit code for files that cannot be used.
-const BAD_FILES: u8 = 2;
+/// Exit code for invalid or unreadable files.
+const EXIT_INVALID_FILES: u8 = 2;
 
-/// Why the files of a command cannot be used.
+/// The reason why a command's files cannot be used.
 #[derive(Debug, Snafu)]
 enum FilesError {
     #[snafu(display("EDGE_CONFIG is not set and there is no --config"))]
@@ -45,7 +45,6 @@
     }
 }
 
-/// Prints a command's result.
 fn print(text: &str) -> ExitCode {
     match linenthread_console::print(text) {
         Ok(()) => ExitCode::SUCCESS,
@@ -100,14 +99,15 @@
     })
 }
 
-/// The files of a command, as they were read.
+/// The parsed files of a command.
 struct Files {
     config_file: PathBuf,
     config: Config,
     settings: InstallationSettings,
 }
 
-/// Reads both files and runs the command; what is wrong with either is one line and exit code 2.
+/// Reads both files and runs the command. If a file cannot be used, prints the reason in one line and returns exit
+/// code 2.
 fn with_files(
     config: Option<PathBuf>,
     installation: Option<&Path>,
@@ -117,7 +117,7 @@
         Ok(files) => command(files),
         Err(error) => {
             eprintln!("linenthread: {error}");
-            ExitCode::from(BAD_FILES)
+            ExitCode::from(EXIT_INVALID_FILES)
         }
     }
 }
--- a/crates/linenthread-service/src/merge_responses/anomalies.rs
+++ b/crates/linenthread-service/src/merge_responses/anomalies.rs
@@ -1,4 +1,4 @@
-//! Unusual values of sub-requests, counted and logged.
+//! Counts and logs response values that differ between replicas or cannot be merged.
 
 use std::cell::Cell;
 
@@ -6,20 +6,19 @@
 
 use crate::log::LogRateLimit;
 
-/// The longest reason in a log line, in characters.
 const MAX_LOGGED_REASON_CHARS: usize = 160;
 
-/// Where a response came from, for the log.
+/// The origin of a response, for the log.
 pub(crate) struct ResponseSource {
     /// The replica's id.
     pub replica: String,
     pub shard: usize,
 }
 
-/// Counts unusual values of sub-requests, for the log.
+/// Counters of anomalous response values, and the rate limits of their log lines.
 #[derive(Default)]
 pub(crate) struct Anomalies {
-    /// Responses to one sub-request that differ.
+    /// Responses that differ from an earlier response to the same sub-request.
     differing: Cell<u64>,
     /// Values that cannot be merged.
     invalid: Cell<u64>,
@@ -55,7 +54,7 @@
     }
 }
 
-/// Counts one more; returns the new count.
+/// Adds one to the counter and returns the new count.
 fn increment(counter: &Cell<u64>) -> u64 {
     counter.set(counter.get() + 1);
     counter.get()
--- a/crates/linenthread-service/src/merge_responses/mod.rs
+++ b/crates/linenthread-service/src/merge_responses/mod.rs
@@ -1,4 +1,5 @@
-//! Collects a query's responses and builds its body: values as they are, or merged by the plan of its index.
+//! Collects the responses to a query's sub-requests and builds the body of the query's response: the values unchanged,
+//! or merged according to the plan of the index.
 
 mod anomalies;
 mod plans;
@@ -16,7 +17,7 @@
 pub(crate) use anomalies::{Anomalies, ResponseSource};
 pub use plans::MergePlans;
 
-/// Seconds since 1970, for the lifetime of cursors.
+/// Returns the seconds since the Unix epoch, which bound the lifetime of cursors.
 fn unix_seconds() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -24,17 +25,18 @@
         .as_secs()
 }
 
-/// What merging shares between queries.
+/// State of response merging that is shared between queries.
 #[derive(Default)]
 pub(crate) struct ResponseMerging {
-    /// Replaced as a whole when the file is read again; a query keeps those that it began with.
+    /// Replaced as a whole when the installation file is reloaded; a query in progress keeps the plans that were in use
+    /// when it started.
     pub plans: RefCell<Rc<MergePlans>>,
     pub anomalies: Anomalies,
 }
 
-/// What one attempt at a sub-request asks.
+/// The request of one attempt at a sub-request.
 pub(crate) struct AttemptRequest {
-    /// How many continuations of the sub-request came before.
+    /// The number of earlier continuations of the sub-request.
     pub continuation: u32,
     pub text: Rc<str>,
 }
@@ -42,16 +44,16 @@
 /// The response of one attempt.
 pub(crate) struct AttemptResponse {
     pub sub_request: SubRequestIndex,
-    /// How many continuations of the sub-request came before.
+    /// The number of earlier continuations of the sub-request.
     pub continuation: u32,
     pub outcome: AttemptOutcome,
     /// Empty unless the attempt succeeded.
     pub value: String,
 }
 
-/// The responses of one query.
+/// Collects the responses to the sub-requests of one query.
 pub(crate) enum ResponseCollector<'a> {
-    /// The first value of each sub-request, as it is.
+    /// The first value of each sub-request, unchanged.
     Unmerged(Vec<Option<String>>),
     Merged {
         merger: Merger<'a>,
@@ -61,11 +63,11 @@
 }
 
 impl<'a> ResponseCollector<'a> {
-    /// A collector for a query of an index; `page` is used where the index is merged.
+    /// Creates a collector for a query of an index. `page` is used only if the index is merged.
     ///
     /// # Errors
     ///
-    /// Why the page cannot be served.
+    /// Returns an error if the page cannot be served.
     pub(crate) fn new(
         plans: &'a MergePlans,
         anomalies: &'a Anomalies,
@@ -108,7 +110,7 @@
         })
     }
 
-    /// What the next attempt at a sub-request asks; `text` is that of the query.
+    /// Returns the request for the next attempt at a sub-request; `text` is the text of the query.
     pub(crate) fn next_request(
         &self,
         sub_request: SubRequestIndex,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Records a response. Returns the attempt's outcome: an error where its value cannot be merged.
+    /// Records a response and returns the attempt's outcome, which is an error if the value cannot be merged.
     pub(crate) fn record(
         &mut self,
         response: AttemptResponse,
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Sub-requests that have to be continued, each returned once.
+    /// Returns the sub-requests that need a continuation; each continuation is returned only once.
     pub(crate) fn take_continuations(&mut self) -> Vec<SubRequestIndex> {
         match self {
             ResponseCollector::Unmerged(_) => Vec::new(),
@@ -177,7 +179,7 @@
         }
     }
 
-    /// The body of the response from the values so far.
+    /// Builds the body of the query's response from the values received so far.
     pub(crate) fn response(&self, completeness: Completeness, query: &Query) -> Vec<u8> {
         match self {
             ResponseCollector::Unmerged(values) => {
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -1,5 +1,5 @@
-//! `linenthread migrate`: carries a configuration of the old form (a ring of replica groups, replicas that report their
-//! load) over to the new one (sets of replicas that hold the same shards and report nothing).
+//! `linenthread migrate`: converts a configuration of the old form (a ring of replica groups whose replicas report
+//! their load) to the new form (sets of replicas that hold the same shards and report no load).
 
 use std::fs;
 use std::io::{self, Write};
@@ -12,20 +12,23 @@
 
 use crate::config::{Config, ConfigError};
 
-/// Exit code if something could not be carried over; the lists say what.
-const INCOMPLETE: u8 = 3;
+/// Exit code if some settings could not be converted; the printed lists name them.
+const EXIT_INCOMPLETE: u8 = 3;
 /// Exit code if nothing can be written.
-const FAILED: u8 = 2;
+const EXIT_FAILED: u8 = 2;
 
-/// Why a configuration cannot be carried over.
+/// The reason why a configuration cannot be converted.
 #[derive(Debug, Snafu)]
 enum ConvertError {
     #[snafu(display("{source}"))]
     Old { source: ConfigError },
     #[snafu(display(
-        "settings: family-info.cells: {groups} cells cannot be divided into sets of {in_a_row}"
+        "settings: family-info.cells: {groups} cells cannot be divided into sets of {replication_factor}"
     ))]
-    Uneven { groups: usize, in_a_row: usize },
+    Uneven {
+        groups: usize,
+        replication_factor: usize,
+    },
     #[snafu(display("does not parse: {source}"))]
     Parse { source: serde_json::Error },
     #[snafu(display("{source}"))]
@@ -34,7 +37,7 @@
     New { source: ConfigError },
 }
 
-/// Why nothing was written. Each message is one line.
+/// The reason why nothing was written. Each message is one line.
 #[derive(Debug, Snafu)]
 enum MigrateError {
     #[snafu(display("--output NEW or --dry-run is required"))]
@@ -45,27 +48,36 @@
     Convert { file: PathBuf, source: ConvertError },
 }
 
-/// A configuration of the new form.
+/// A configuration of the new form, and the lines to print about its conversion.
 struct Converted {
     new: Value,
-    /// The shards that each replica must load before the new file can be served.
+    /// For each replica, the shards that it must load before the new file can be used, and those that it may drop
+    /// afterwards.
     moves: Vec<String>,
+    /// The settings that have no equivalent in the new form.
     omitted: Vec<String>,
 }
 
-/// Consecutive groups become one set: group g of a ring with r groups in a row for each shard goes to set g / r, so
-/// that each shard keeps its number of replicas. `None` for a configuration that has the new form already.
+/// Converts a configuration; returns `None` if it has the new form already. Consecutive replica groups become one set:
+/// in a ring where r consecutive groups hold each shard, group g becomes part of set g / r. Each shard thus keeps its
+/// number of replicas.
 fn convert(text: &[u8]) -> Result<Option<Converted>, ConvertError> {
     let old = Config::parse(text).context(OldSnafu)?;
     let layout = &old.coordinator.layout;
     let groups = layout.replica_groups;
-    let in_a_row = layout.replication_factor.max(1);
-    if in_a_row == 1 && !old.coordinator.reports_queue {
+    let replication_factor = layout.replication_factor.max(1);
+    if replication_factor == 1 && !old.coordinator.reports_queue {
         return Ok(None);
     }
-    ensure!(groups % in_a_row == 0, UnevenSnafu { groups, in_a_row });
+    ensure!(
+        groups % replication_factor == 0,
+        UnevenSnafu {
+            groups,
+            replication_factor
+        }
+    );
     let sets = ShardLayout {
-        replica_groups: groups / in_a_row,
+        replica_groups: groups / replication_factor,
         replication_factor: 1,
     };
     let mut new: Value = serde_json::from_slice(text).context(ParseSnafu)?;
@@ -76,7 +88,7 @@
     let members = new["known"]["members"].as_array_mut().into_iter().flatten();
     let mut moves = Vec::new();
     for (replica, member) in old.cached_membership.replicas.iter().zip(members) {
-        let set = replica.replica_group / in_a_row;
+        let set = replica.replica_group / replication_factor;
         member["cell"] = json!(set);
         let held_before = |shard| layout.holds(replica.replica_group, shard);
         let held_after = |shard| sets.holds(set, shard);
@@ -99,7 +111,7 @@
     }))
 }
 
-/// Switches load reports off and lists those that were on.
+/// Disables load reports and lists those that were enabled.
 fn remove_load_reports(new: &mut Value) -> Vec<String> {
     let telemetry = &mut new["settings"]["telemetry"];
     let names = telemetry["names"].as_array().into_iter().flatten();
@@ -115,39 +127,41 @@
     shards.join(" ")
 }
 
-/// Writes a new file completely or not at all; an existing one is left alone.
+/// Writes a new file completely or not at all. Fails if the file exists.
 fn write(file: &Path, value: &Value) -> Result<(), MigrateError> {
     let directory = file.parent().filter(|path| !path.as_os_str().is_empty());
     let directory = directory.unwrap_or(Path::new("."));
-    let mut draft = tempfile::NamedTempFile::new_in(directory).context(IoSnafu { file })?;
-    serde_json::to_writer_pretty(&mut draft, value)
+    let mut temporary_file =
+        tempfile::NamedTempFile::new_in(directory).context(IoSnafu { file })?;
+    serde_json::to_writer_pretty(&mut temporary_file, value)
         .map_err(io::Error::from)
-        .and_then(|()| draft.write_all(b"\n"))
-        .and_then(|()| draft.as_file().sync_all())
+        .and_then(|()| temporary_file.write_all(b"\n"))
+        .and_then(|()| temporary_file.as_file().sync_all())
         .context(IoSnafu { file })?;
-    let written = draft.persist_noclobber(file).map_err(|error| error.error);
+    let written = temporary_file
+        .persist_noclobber(file)
+        .map_err(|error| error.error);
     written.map(drop).context(IoSnafu { file })
 }
 
 /// Options of `linenthread migrate`.
 #[derive(Clone, Debug)]
 pub struct MigrateOptions {
-    /// Write nothing, and say what would be written.
+    /// Print the result and write nothing.
     pub dry_run: bool,
     /// The new file, which must not exist.
     pub output: Option<PathBuf>,
-    /// The configuration to carry over.
+    /// The configuration to convert, which is not changed.
     pub old: PathBuf,
 }
 
-/// What a migration could carry over.
+/// Whether all settings could be converted.
 enum Completeness {
     Complete,
-    /// Some of it was left out; the lists say what.
+    /// Some settings were omitted; the printed list names them.
     Incomplete,
 }
 
-/// Carries a configuration over.
 fn migrate(options: &MigrateOptions) -> Result<Completeness, MigrateError> {
     let MigrateOptions {
         dry_run,
@@ -181,14 +195,14 @@
     }
 }
 
-/// Runs the command: exit code 0, 3 if something was left out, 2 if nothing could be written.
+/// Runs the command. The exit code is 0, or 3 if settings were omitted, or 2 if nothing could be written.
 pub fn run(options: &MigrateOptions) -> ExitCode {
     match migrate(options) {
         Ok(Completeness::Complete) => ExitCode::SUCCESS,
-        Ok(Completeness::Incomplete) => ExitCode::from(INCOMPLETE),
+        Ok(Completeness::Incomplete) => ExitCode::from(EXIT_INCOMPLETE),
         Err(error) => {
             eprintln!("linenthread: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_FAILED)
         }
     }
 }
--- a/crates/linenthread-service/src/replica_indices.rs
+++ b/crates/linenthread-service/src/replica_indices.rs
@@ -1,20 +1,20 @@
-//! Assigns replica ids the small indices by which the coordinator knows them, and reuses indices.
+//! Assigns to each replica id the small index that identifies the replica in the coordinator, and reuses indices.
 
 use std::collections::HashMap;
 
 use linenthread_core::interface::ReplicaIndex;
 
-/// A replica that has an index.
+/// A replica with an assigned index.
 struct ReplicaSlot {
     id: String,
-    /// Probes of it that are in flight, or completed and not yet passed to the coordinator.
+    /// The number of its probes that are in flight, or completed but not yet passed to the coordinator.
     probes: usize,
-    /// How many queries had been submitted when it was removed. Once these are over, it has no connection and no
-    /// probe of it is in flight, its index may be reused.
+    /// The number of queries that had been submitted when the replica was removed; `None` while it is listed. The index
+    /// may be reused once these queries are completed and the replica has no connection and no unfinished probe.
     removed_after: Option<u64>,
 }
 
-/// The indices of replicas.
+/// The assigned indices of replicas.
 #[derive(Default)]
 pub struct ReplicaIndices {
     by_id: HashMap<String, ReplicaIndex>,
@@ -23,12 +23,12 @@
 }
 
 impl ReplicaIndices {
-    /// The index of an id, if it has one.
+    /// Returns the index of a replica id, if one is assigned.
     pub fn get(&self, id: &str) -> Option<ReplicaIndex> {
         self.by_id.get(id).copied()
     }
 
-    /// The index of an id; one that has none is assigned the lowest that is free.
+    /// Returns the index of a replica id; assigns the lowest free index if the id has none.
     pub fn get_or_assign(&mut self, id: &str) -> ReplicaIndex {
         if let Some(known) = self.get(id) {
             return known;
@@ -50,60 +50,62 @@
         replica
     }
 
-    /// The id of a replica, if the index is assigned.
+    /// Returns the id of a replica, if the index is assigned.
     pub fn id(&self, replica: ReplicaIndex) -> Option<&str> {
         let slot = self.slots.get(replica.0)?.as_ref()?;
         Some(&slot.id)
     }
 
-    /// The number of indices ever in use at once: all are lower.
+    /// Returns the maximum number of indices that were ever in use at once. All indices are lower than this number.
     pub fn count(&self) -> usize {
         self.slots.len()
     }
 
-    /// A probe of a replica was sent.
+    /// Records that a probe was sent to a replica.
     pub fn start_probe(&mut self, replica: ReplicaIndex) {
         if let Some(slot) = self.slot(replica) {
             slot.probes += 1;
         }
     }
 
-    /// The coordinator has the outcome of a probe.
+    /// Records that the outcome of a probe was passed to the coordinator.
     pub fn finish_probe(&mut self, replica: ReplicaIndex) {
         if let Some(slot) = self.slot(replica) {
             slot.probes -= 1;
         }
     }
 
-    /// Marks a replica as listed: its index stays assigned.
+    /// Marks a replica as listed, so that its index stays assigned.
     pub fn set_listed(&mut self, replica: ReplicaIndex) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = None;
         }
     }
 
-    /// Marks a replica as removed after so many queries had been submitted.
+    /// Marks a replica as removed; `submitted` is the number of queries submitted so far.
     pub fn set_removed(&mut self, replica: ReplicaIndex, submitted: u64) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = Some(submitted);
         }
     }
 
-    /// Marks a replica as removed unless it already was.
+    /// Marks a replica as removed unless it is already marked; `submitted` is the number of queries submitted so far.
     pub fn ensure_removed(&mut self, replica: ReplicaIndex, submitted: u64) {
         if let Some(slot) = self.slot(replica) {
             slot.removed_after = slot.removed_after.or(Some(submitted));
         }
     }
 
-    /// The only place that frees indices: the first `completed` queries that were submitted are over.
+    /// Frees the indices of removed replicas that are no longer in use; indices are freed nowhere else. All of the first
+    /// `completed` submitted queries have ended; `is_vacant` reports whether a replica has neither a route nor a
+    /// connection.
     pub fn release_unused(&mut self, completed: u64, is_vacant: impl Fn(ReplicaIndex) -> bool) {
         for (index, entry) in self.slots.iter_mut().enumerate() {
             let is_unused = |slot: &mut ReplicaSlot| {
-                let over = slot
+                let are_queries_completed = slot
                     .removed_after
                     .is_some_and(|removed_after| removed_after <= completed);
-                over && slot.probes == 0 && is_vacant(ReplicaIndex(index))
+                are_queries_completed && slot.probes == 0 && is_vacant(ReplicaIndex(index))
             };
             if let Some(slot) = entry.take_if(is_unused) {
                 self.by_id.remove(&slot.id);
--- a/crates/linenthread-service/src/serve/error.rs
+++ b/crates/linenthread-service/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why the process could not serve, or had to stop.
+//! Errors that prevent the process from serving.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,42 +7,42 @@
 
 use crate::fleet;
 
-/// Why the process could not serve, or had to stop. Each message is one line.
+/// The reason why the process could not start or had to stop. Each message is one line.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ServeError {
-    /// It cannot listen for clients.
+    /// The process cannot listen for clients.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// It cannot handle signals.
+    /// The signal handlers cannot be installed.
     #[snafu(display("cannot handle signals"))]
     Signals {
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// It cannot join the fleet.
+    /// The process cannot join the fleet.
     #[snafu(display("{source}"))]
     Fleet {
-        /// Why not.
+        /// The reason.
         source: fleet::StartError,
     },
-    /// It cannot listen for links.
+    /// The gateway cannot listen for links.
     #[snafu(display("cannot listen for links on {address}: {source}"))]
     ListenForLinks {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The task that steps the decision module has ended.
+    /// The task that runs the decision module has ended unexpectedly.
     #[snafu(display("the decision module failed"))]
     Decisions,
-    /// The task that follows service discovery has ended.
+    /// The task that watches service discovery has ended unexpectedly.
     #[snafu(display("the service discovery watch failed"))]
     ServiceDiscovery,
 }
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -1,4 +1,5 @@
-//! The fleet's thread and the coordinator driver: observations go to the one, routing tables to the other.
+//! Connects the fleet's thread to the coordinator driver: passes observations to the thread and routing tables to the
+//! driver.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -12,14 +13,15 @@
 use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, StartError, ToFleet};
 use crate::installation::WithSecrets;
 
-/// Time between two messages of observations to the fleet's thread.
+/// Interval at which observations are sent to the fleet's thread.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for a table to become valid: clocks that are far apart are not waited for.
+/// Longest wait for a table to become valid, so that a large difference between the clocks of processes does not delay
+/// the table further.
 const MAX_TABLE_WAIT: Duration = Duration::from_millis(1_000);
-/// Descriptors of a member besides those of its connections.
+/// Descriptors that a member needs besides those for its connections.
 const MEMBER_DESCRIPTORS: usize = 4;
 
-/// Most descriptors that a member of this fleet may need.
+/// Returns the maximum number of descriptors that a member of this fleet may need.
 pub(super) fn descriptors(fleet: &Fleet) -> usize {
     let members = usize::try_from(fleet.expected_members).unwrap_or(usize::MAX);
     MEMBER_DESCRIPTORS + fleet.voters.len() * 2 + members
@@ -29,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// The fleet's thread could not start.
+/// Returns an error if the fleet's thread cannot start.
 pub(super) fn join(
     config: &Config,
     driver: &CoordinatorDriver,
@@ -78,7 +80,7 @@
     }
 }
 
-/// Time until a moment of the system's clock, bounded by [`MAX_TABLE_WAIT`].
+/// Returns the time until the system clock reaches `valid_from_ms`, at most [`MAX_TABLE_WAIT`].
 fn time_until(valid_from_ms: u64) -> Duration {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH);
     let unix_ms = unix.unwrap_or_default().as_millis();
--- a/crates/linenthread-service/src/serve/links.rs
+++ b/crates/linenthread-service/src/serve/links.rs
@@ -1,4 +1,4 @@
-//! Links between processes: those to the configured peers, and the gateway for those that come in.
+//! Starts the links to the configured peers, and the gateway that accepts incoming links.
 
 use std::time::Duration;
 
@@ -17,23 +17,24 @@
 use crate::installation::WithSecrets;
 use crate::transports::{Transports, link};
 
-/// Bytes of calls that may wait for one link.
+/// Maximum bytes of calls that may be queued for one link.
 const MAX_QUEUED_BYTES: u64 = 8 * 1024 * 1024;
-/// First pause before a link is dialled again.
+/// Shortest backoff before a link reconnects.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause before a link is dialled again.
+/// Longest backoff before a link reconnects.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Time for the handshake of a link that comes in.
+/// Time limit of the handshake of an incoming link.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A connection of a link that sends nothing for so long is closed.
+/// A link's connection is closed if nothing is received on it for this long.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(10_000);
 
-/// Descriptors that links need: one for each peer, and for a gateway its listener and two for each session.
+/// Returns the number of descriptors that links need: one for each peer, and for a gateway one for its listener and two
+/// for each session.
 pub(super) fn descriptors(peer_count: usize, gateway: Option<&file::Gateway>) -> usize {
     peer_count + gateway.map_or(0, |gateway| 2 * gateway.max_sessions + 1)
 }
 
-/// Starts the link to one peer; `seed` must differ between the links of a process.
+/// Starts the link to one peer. `seed` must differ between the links of a process.
 pub(super) fn start_peer(
     config: &Config,
     driver: &CoordinatorDriver,
@@ -73,11 +74,11 @@
     });
 }
 
-/// Starts to accept links.
+/// Starts the gateway, which accepts incoming links.
 ///
 /// # Errors
 ///
-/// It cannot listen on the gateway's address.
+/// Returns an error if the process cannot listen on the gateway's address.
 pub(super) fn start_gateway(
     config: &Config,
     driver: &CoordinatorDriver,
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! `linenthread serve`: puts the parts of the process together and runs it until it is told to stop.
+//! `linenthread serve`: starts the tasks of the process and runs them until a signal to stop.
 
 mod descriptors;
 mod error;
@@ -33,11 +33,11 @@
 use crate::transports::attempt::ConnectionConfig;
 use crate::zone_routing::{ZoneRouting, ZoneRoutingConfig, numbered_zones};
 
-use descriptors::{max_clients, max_spent_clients, replica_descriptors};
+use descriptors::{max_clients, max_idle_clients, replica_descriptors};
 pub use error::ServeError;
 use error::{FleetSnafu, ListenSnafu, SignalsSnafu};
 
-/// Time that calls of links may still take after the signal to stop.
+/// Time limit for the calls that are in progress on incoming links when the process shuts down.
 const LINKS_DRAIN: Duration = Duration::from_millis(1_500);
 
 /// The files that a running process reads again on SIGHUP.
@@ -45,7 +45,7 @@
 pub struct ReloadedFiles<'a> {
     /// The platform's configuration.
     pub config: &'a Path,
-    /// The operators' own file.
+    /// The installation file.
     pub installation: Option<&'a Path>,
 }
 
@@ -66,12 +66,12 @@
     }
 }
 
-/// Serves until SIGTERM or SIGINT, then answers all queries that it has accepted. `ready` is called with the address
-/// that it listens on.
+/// Serves until SIGTERM or SIGINT, then completes all accepted queries. Calls `ready` with the address on which the
+/// process listens.
 ///
 /// # Errors
 ///
-/// It could not start, or an essential task has failed.
+/// Returns an error if the process cannot start or an essential task fails.
 pub async fn serve(
     config: Config,
     settings: InstallationSettings,
@@ -91,22 +91,22 @@
     Ok(())
 }
 
-/// A process that serves.
+/// The tasks and handles of a serving process.
 struct Process {
     frontend: HttpFrontend,
     query_context: Rc<QueryContext>,
     fleet: Option<FleetHandle>,
     gateway: Option<Gateway>,
-    /// Where service discovery is followed; its watch follows a change.
+    /// The address of service discovery; a change makes its watch switch to the new address.
     discovery_address: watch::Sender<SocketAddr>,
-    /// The task that steps the decision module.
+    /// The task that runs the decision module.
     decisions: JoinHandle<()>,
-    /// The task that follows service discovery.
+    /// The task that watches service discovery.
     discovery: JoinHandle<()>,
 }
 
 impl Process {
-    /// Starts all tasks but those that accept clients.
+    /// Starts all tasks except those that accept clients.
     fn start(config: &Config, settings: InstallationSettings) -> Result<Process, ServeError> {
         let max_clients = max_clients(config, &settings);
         let transports = transports(config);
@@ -133,11 +133,8 @@
         let gateway = gateway.transpose()?;
         let query_context = query_context(config, driver, transports, settings.merging);
         let query_context = Rc::new(query_context);
-        let frontend = HttpFrontend::new(
-            query_context.clone(),
-            max_clients,
-            max_spent_clients(config),
-        );
+        let frontend =
+            HttpFrontend::new(query_context.clone(), max_clients, max_idle_clients(config));
         Ok(Process {
             frontend,
             query_context,
@@ -149,11 +146,11 @@
         })
     }
 
-    /// Serves until SIGTERM or SIGINT, and reads the files again on each SIGHUP.
+    /// Serves until SIGTERM or SIGINT, and reloads the files on each SIGHUP.
     ///
     /// # Errors
     ///
-    /// An essential task has failed.
+    /// Returns an error if an essential task fails.
     async fn run(
         &mut self,
         listener: &TcpListener,
@@ -179,8 +176,8 @@
         }
     }
 
-    /// Leaves the fleet, and answers the queries that were accepted, those of links as well. The health check fails at
-    /// once.
+    /// Leaves the fleet and completes the accepted queries, those received over links as well. The health check fails
+    /// from now on.
     async fn shut_down(self, listener: TcpListener) {
         if let Some(fleet) = &self.fleet {
             fleet.sender.send(ToFleet::Leave).ok();
@@ -197,16 +194,17 @@
     }
 }
 
-/// Where the settings have the coordinator watch the list, it says itself when it wants the first one.
+/// If the settings let the coordinator watch the membership list, the coordinator requests the first list itself.
 fn first_fetch(config: &Config) -> FirstFetch {
     if config.coordinator.watch_membership {
         FirstFetch::OnRequest
     } else {
-        FirstFetch::AtOnce
+        FirstFetch::Immediately
     }
 }
 
-/// The connections to replicas. Idle ones are closed somewhat earlier than replicas would close them.
+/// Creates the connections to replicas. Idle connections are closed somewhat earlier than the replicas would close
+/// them.
 fn transports(config: &Config) -> Transports {
     let cluster = &config.cluster;
     let connect_timeout = clock::to_duration(cluster.connect_timeout.max(1));
@@ -221,7 +219,7 @@
     })
 }
 
-/// The coordinator driver, which routes between zones where a fleet decides on that.
+/// Creates the coordinator driver, with zone-aware routing if this process is in a fleet that has zones.
 fn driver(
     config: &Config,
     transports: &Transports,
@@ -236,7 +234,7 @@
     CoordinatorDriver::new(config, transports.clone(), zone_names, zones)
 }
 
-/// Routing between zones; `None` unless this process is in a fleet that has zones.
+/// Creates the routing between zones; `None` unless this process is in a fleet that has zones.
 fn zone_routing(
     config: &Config,
     settings: &InstallationSettings,
@@ -254,7 +252,7 @@
     Some(ZoneRouting::new(routing_config, zone_names))
 }
 
-/// What the tasks of all queries share.
+/// Creates the state that the tasks of all queries share.
 fn query_context(
     config: &Config,
     driver: CoordinatorDriver,
@@ -276,17 +274,17 @@
     }
 }
 
-/// A value in thousandths, rounded down.
+/// Converts a value to thousandths, rounded down.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the fraction is to go; the cast saturates, and values are far below its limit"
+    reason = "the fraction is dropped deliberately; the cast saturates, and values are far below its limit"
 )]
 fn thousandths(value: f64) -> u32 {
     (value * 1_000.0) as u32
 }
 
-/// Reads the files again on each SIGHUP.
+/// Reloads the files on each SIGHUP.
 async fn reload(
     hangup: &mut Signal,
     config: &Config,
@@ -299,7 +297,7 @@
         if let Some(new) = config.reload(files.config) {
             discovery_address.send_if_modified(|address| std::mem::replace(address, new) != new);
         }
-        // Queries in progress go on with the plans that they began with.
+        // Queries in progress keep the plans that were in use when they started.
         if let Some(new) = files
             .installation
             .and_then(|file| InstallationSettings::reload(file, config))
--- a/crates/linenthread-service/src/service_discovery.rs
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -1,4 +1,4 @@
-//! Follows the service discovery's list of replicas, and passes each update or failure to the coordinator driver.
+//! Watches the list of replicas at service discovery and passes each update or failure to the coordinator driver.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,13 +11,14 @@
 
 use crate::coordinator_driver::CoordinatorDriver;
 
-/// How long the service is asked to keep a watch open, in milliseconds: the longest that it permits, since an open
-/// watch is answered as soon as there is an update, and one that ends has to be requested again.
+/// The longest time for which service discovery may hold a watch request open, in milliseconds. This is the maximum
+/// that it permits: it responds to an open watch as soon as there is an update, and a watch that ends costs a new
+/// request.
 const WATCH_TIMEOUT_MS: u64 = 60_000;
-/// How much longer than the watch a response may take before the request counts as failed.
+/// Time after which a request fails: for a watch, counted from the end of [`WATCH_TIMEOUT_MS`].
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why the list could not be had. The text goes to the log.
+/// The reason why the list could not be fetched, as written to the log.
 #[derive(Debug, Snafu)]
 enum FetchError {
     #[snafu(display("no response in time"))]
@@ -37,14 +38,14 @@
 /// When the list is requested for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FirstFetch {
-    AtOnce,
-    /// Once the coordinator wants it.
+    Immediately,
+    /// When the coordinator requests it.
     OnRequest,
 }
 
-/// Follows the service for as long as the program runs, at whatever address is configured. A new address aborts
-/// the request at the old one and starts with the complete list: revisions of two services cannot be compared.
-/// The last list is kept meanwhile.
+/// Watches service discovery for as long as the program runs. When the configured address changes, aborts the request
+/// to the old address and fetches the complete list from the new one, as revisions of two services cannot be compared.
+/// The last list stays in use meanwhile.
 pub(crate) async fn watch(
     driver: CoordinatorDriver,
     mut address: Receiver<SocketAddr>,
@@ -57,15 +58,15 @@
     loop {
         let current = *address.borrow_and_update();
         tokio::select! {
-            () = follow(&driver, current, replica_groups) => {}
+            () = watch_address(&driver, current, replica_groups) => {}
             Ok(()) = address.changed() => info!(discovery = %*address.borrow(), "service discovery moved"),
         }
     }
 }
 
-/// Requests the complete list, then watches for changes. After a failure, and where the list is only watched on
-/// request, the coordinator says when to try again.
-async fn follow(driver: &CoordinatorDriver, address: SocketAddr, replica_groups: usize) {
+/// Requests the complete list, then watches for changes. After a failure, waits until the coordinator requests the list
+/// again.
+async fn watch_address(driver: &CoordinatorDriver, address: SocketAddr, replica_groups: usize) {
     let connector = awc::Connector::new().timeout(RESPONSE_TIMEOUT).limit(2);
     let client = awc::Client::builder()
         .connector(connector)
@@ -100,7 +101,7 @@
     }
 }
 
-/// Requests the complete list, or the changes since a revision once there are any.
+/// Requests the complete list, or, if a revision is given, waits for the changes since that revision.
 async fn fetch(
     client: &awc::Client,
     address: SocketAddr,
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -1,5 +1,5 @@
-//! Zone-aware routing of one process: where replicas are placed, outcomes of the sub-requests sent to each zone, and
-//! the routing table in force.
+//! Zone-aware routing of one process: tracks the placement of replicas, the outcomes of sub-requests to each zone, and
+//! the routing table in use.
 
 use std::collections::BTreeMap;
 
@@ -13,42 +13,42 @@
     ALL_KEYS, Placement, Report, RoutingTable, Topology, Zone, ZoneIndex, ZoneObserver,
 };
 
-/// Distance of the process's own zone.
+/// Distance of the zone of this process.
 const SAME_ZONE: u8 = 0;
 /// Distance of another zone of the same region.
 const SAME_REGION: u8 = 1;
 /// Distance of a zone of another region.
 const OTHER_REGION: u8 = 2;
-/// Distance of a zone that the installation file does not name: farther than all that it names.
-const UNNAMED: u8 = 3;
+/// Distance of a zone that is not in the installation file: greater than that of any configured zone.
+const UNCONFIGURED_ZONE: u8 = 3;
 
-/// A zone of the driver's numbering.
+/// A zone that the driver has numbered.
 struct NamedZone {
     name: String,
-    /// Its position among the configured zones, if the installation file names it.
+    /// The zone's position in the installation file, or `None` if it is not in the file.
     configured: Option<usize>,
 }
 
-/// Identity of the process behind a replica's index; another start time is another process.
+/// Identity of the replica process that an index refers to; a different start time means a different process.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ReplicaIdentity {
     id: u64,
     started_at: Option<TenthMillis>,
 }
 
-/// What a process tells the leader of its fleet about zones.
+/// A process's report on zones to the leader of its fleet.
 pub(crate) struct ZoneReport {
     /// Observations since the previous report.
     pub observations: Report,
-    /// The placement of replicas now.
+    /// The current placement of replicas.
     pub topology: Topology,
 }
 
-/// How a process routes between zones.
+/// Configuration of a process's routing between zones.
 pub(crate) struct ZoneRoutingConfig {
-    /// The zones of the installation file, in its order.
+    /// The zones of the installation file, in the file's order.
     pub zones: Vec<Zone>,
-    /// Name of the zone of this process.
+    /// The name of this process's zone.
     pub local_zone: String,
     /// A routing table expires after this time unless it is renewed.
     pub table_lifetime: TenthMillis,
@@ -56,23 +56,23 @@
     pub shard_count: usize,
 }
 
-/// All zones in the order of the driver's numbers: those that the settings name, then the further ones of the
-/// installation file.
+/// Returns the names of all zones in the order of the driver's numbers: the zones of the settings, then those that are
+/// only in the installation file.
 pub(crate) fn numbered_zones(
     in_settings: &[String],
     in_installation: &[file::Zone],
 ) -> Vec<String> {
     let installed = in_installation.iter().map(|zone| &zone.name);
-    let further = installed.filter(|name| !in_settings.contains(name));
-    in_settings.iter().chain(further).cloned().collect()
+    let additional = installed.filter(|name| !in_settings.contains(name));
+    in_settings.iter().chain(additional).cloned().collect()
 }
 
-/// Routing between zones, as seen from the zone of this process.
+/// Routing between zones from the zone of this process.
 pub(crate) struct ZoneRouting {
     zones: Vec<Zone>,
     /// Position of this process's zone in `zones`.
     local_zone: usize,
-    /// By the driver's number of a zone.
+    /// By the driver's zone number.
     named_zones: Vec<NamedZone>,
     layout: ShardLayout,
     shard_count: usize,
@@ -80,13 +80,13 @@
     listed: BTreeMap<ReplicaIndex, MembershipEntry>,
     identities: BTreeMap<ReplicaIndex, ReplicaIdentity>,
     table: Option<RoutingTable>,
-    /// The table expires then unless it is renewed.
+    /// When the table expires unless it is renewed.
     expires_at: TenthMillis,
     table_lifetime: TenthMillis,
 }
 
 impl ZoneRouting {
-    /// `zone_names` are the zones in the order of the driver's numbers.
+    /// `zone_names` are all zones in the order of the driver's numbers, as returned by [`numbered_zones`].
     pub(crate) fn new(config: ZoneRoutingConfig, zone_names: &[String]) -> ZoneRouting {
         let ZoneRoutingConfig {
             zones,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes in an update of the membership list, as the decision module does.
+    /// Applies an update of the membership list in the same way as the decision module.
     pub(crate) fn on_membership(&mut self, update: &MembershipUpdate) {
         let (listed, is_complete) = match update {
             MembershipUpdate::Delta(listed) => (listed, false),
@@ -136,7 +136,7 @@
             id: entry.id,
             started_at: entry.started_at,
         };
-        // Observations of a former process or replica under this index do not hold for the new one.
+        // Observations of the replica or process that had this index before do not apply to the new one.
         if self.identities.insert(entry.replica, identity) != Some(identity) {
             self.observer.on_replica_removed(entry.replica.0);
         }
@@ -149,18 +149,18 @@
         }
     }
 
-    /// The configured zone of a listed replica.
+    /// Returns the zone of a listed replica, or `None` if the zone is not in the installation file.
     fn zone(&self, replica: ReplicaIndex) -> Option<usize> {
         let listed = self.listed.get(&replica)?;
         self.named_zones.get(listed.zone)?.configured
     }
 
-    /// A query of so many sub-requests begins.
+    /// Records the start of a query with this number of sub-requests.
     pub(crate) fn on_query(&mut self, sub_requests: usize) {
         self.observer.on_query(sub_requests);
     }
 
-    /// A sub-request to a replica ended after `elapsed`.
+    /// Records the outcome of a sub-request to a replica, which took `elapsed`.
     pub(crate) fn on_outcome(
         &mut self,
         replica: ReplicaIndex,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The observations since the previous call, and the placement of replicas now.
+    /// Returns the observations since the previous call and the current placement of replicas.
     pub(crate) fn report(&mut self) -> ZoneReport {
         let zone_count = self.zones.len();
         let mut replicas = vec![0; zone_count];
@@ -199,7 +199,7 @@
         }
     }
 
-    /// The ways in which shards are spread over zones, each with its share of all shards.
+    /// Returns the distinct distributions of a shard's ready replicas over zones, each with its share of all shards.
     fn placements(&self, by_group: &[Vec<u16>]) -> Vec<Placement> {
         let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
         for shard in 0..self.shard_count {
@@ -218,7 +218,7 @@
             .collect()
     }
 
-    /// Puts a table in force; returns whether it did, as one for other zones than the configured ones is rejected.
+    /// Applies a routing table. Returns `false`, and ignores the table, if its zones are not the configured ones.
     pub(crate) fn accept_table(&mut self, table: RoutingTable, now: TenthMillis) -> bool {
         let configured = self.zones.iter().map(|zone| &zone.name);
         let is_applicable = table.zones.iter().eq(configured);
@@ -229,12 +229,13 @@
         is_applicable
     }
 
-    /// Drops a table that was not renewed in time and says whether it did: all routes are open then, nearest first.
+    /// Drops a table that was not renewed in time, and returns whether it did. Without a table, all routes are open,
+    /// nearest zone first.
     pub(crate) fn expire_table(&mut self, now: TenthMillis) -> bool {
         now >= self.expires_at && self.table.take().is_some()
     }
 
-    /// The routes to the driver's zones, in its order, for the decision module.
+    /// Returns the routes to all zones, in the order of the driver's numbers, for the decision module.
     pub(crate) fn routes(&self) -> Vec<ZoneRoute> {
         self.named_zones
             .iter()
@@ -247,7 +248,7 @@
         let Some(zone) = named_zone.configured else {
             return ZoneRoute {
                 id,
-                distance: UNNAMED,
+                distance: UNCONFIGURED_ZONE,
                 open_per_mille: ALL_KEYS,
             };
         };
