--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -158,12 +158,12 @@
             .pointer("/limits/sockets")
             .context(MissingSnafu { field })?;
         let settings = fields.value("settings")?;
-        let coordinator = terms::coordinator_config(settings).context(SettingsSnafu)?;
-        let mut indexes = coordinator.indexes.iter();
+        let coordinator_config = terms::coordinator_config(settings).context(SettingsSnafu)?;
+        let mut indexes = coordinator_config.indexes.iter();
         if let Some(index) = indexes.position(|index| index.fetch_sub_requests > 0) {
             return FetchStepSnafu { index }.fail();
         }
-        let replica_groups = coordinator.layout.replica_groups;
+        let replica_groups = coordinator_config.layout.replica_groups;
         Ok(Config {
             name: fields.text("name")?.to_owned(),
             listen: fields.address("listen")?,
@@ -173,7 +173,7 @@
             cached_membership: membership::from_value(fields.value("known")?, replica_groups)
                 .context(MembersSnafu)?,
             cluster: terms::cluster_config(settings).context(SettingsSnafu)?,
-            coordinator,
+            coordinator: coordinator_config,
         })
     }
 
--- a/crates/linenthread-service/src/demo/error.rs
+++ b/crates/linenthread-service/src/demo/error.rs
@@ -9,7 +9,7 @@
 use crate::installation::InstallationError;
 use crate::serve::ServeError;
 
-/// Why the demo could not start or has failed.
+/// The reason why the demo could not start or failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub(super) enum DemoError {
--- a/crates/linenthread-service/src/demo/mod.rs
+++ b/crates/linenthread-service/src/demo/mod.rs
@@ -1,5 +1,5 @@
-//! `linenthread try`: a demo on loopback, of stub replicas, stub service discovery and this program, with rows to
-//! query.
+//! `linenthread try`: a demo on loopback that runs this program with stub replicas, stub service discovery and
+//! generated rows.
 
 mod error;
 mod programs;
@@ -9,34 +9,34 @@
 
 use std::process::ExitCode;
 
-/// Replica groups of the demo, of one replica each.
+/// Number of replica groups, each with one replica.
 const REPLICA_GROUPS: usize = 4;
-/// Shards of each index.
+/// Number of shards of each index.
 const SHARDS: usize = 8;
-/// The shard whose response to a query of pledges is late.
+/// The shard whose responses to queries of the index "pledges" are too late.
 const LATE_SHARD: usize = 5;
 
 /// Options of `linenthread try`.
 #[derive(Clone)]
 pub struct DemoOptions {
-    /// Show some answers and end.
+    /// Print the responses to some queries and exit.
     pub show: bool,
-    /// Seed of the rows.
+    /// Seed for the generated rows.
     pub seed: u64,
-    /// With two sites, all replicas are behind a gateway.
+    /// 1 or 2; with two sites, all replicas are reached through a gateway.
     pub sites: u8,
-    /// Run three zones and the loss of one instead.
+    /// If set, run the demo of three zones, of which one is lost.
     pub zones: Option<u8>,
 }
 
-/// What the demo sets up.
+/// The set-up of the demo.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Scenario {
-    /// One program with all replicas.
+    /// One program that is connected to all replicas.
     OneSite,
-    /// A program that reaches all replicas over a link to a second one, the gateway.
+    /// A program that reaches all replicas over a link to a second program, the gateway.
     TwoSites,
-    /// Three zones, of which one is lost and comes back.
+    /// Three zones, of which one is lost and recovers.
     ThreeZones,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Runs the demo that the options choose.
+/// Runs the demo that the options select.
 pub fn run(options: &DemoOptions) -> ExitCode {
     if options.scenario() == Scenario::ThreeZones {
         return zones::run(options.seed);
--- a/crates/linenthread-service/src/demo/programs.rs
+++ b/crates/linenthread-service/src/demo/programs.rs
@@ -1,4 +1,4 @@
-//! The programs of the demo: their files, and the stub replicas and stub service discovery that they use.
+//! The programs of the demo: writes their files, and starts the stub replicas and stub service discovery that they use.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -19,14 +19,14 @@
 use crate::installation::InstallationSettings;
 use crate::serve::{self, ReloadedFiles};
 
-/// Delay of all other responses.
-const USUAL_DELAY: Duration = Duration::from_millis(5);
-/// Delay of the late response, beyond the query's deadline.
+/// Delay of all responses but the late one.
+const NORMAL_DELAY: Duration = Duration::from_millis(5);
+/// Delay of the late response: longer than the soft deadline of the indexes.
 const LATE_DELAY: Duration = Duration::from_secs(3);
 
-/// The files of one program, read as `serve` reads them.
-pub(super) struct Prepared {
-    /// Removes the files when it is dropped.
+/// The files of one program and their parsed contents.
+pub(super) struct PreparedProgram {
+    /// Deletes the files when it is dropped.
     _directory: tempfile::TempDir,
     file: PathBuf,
     installation_file: PathBuf,
@@ -34,22 +34,22 @@
     settings: InstallationSettings,
 }
 
-/// Writes a program's files and reads them.
-fn prepare(config: &Value, installation: &str, seed: u64) -> Result<Prepared, DemoError> {
+/// Writes a program's files, and reads them as `serve` does.
+fn prepare(config: &Value, installation: &str, seed: u64) -> Result<PreparedProgram, DemoError> {
     let directory = tempfile::tempdir().context(DirectorySnafu)?;
-    let put = |name: &str, text: &str| {
+    let write_file = |name: &str, text: &str| {
         let file = directory.path().join(name);
         std::fs::write(&file, text).context(WriteSnafu { file: &file })?;
         Ok::<_, DemoError>(file)
     };
     for key in ["marks.key", "link.key"] {
-        put(key, &format!("only for a first try {seed:016x}"))?;
+        write_file(key, &format!("only for a first try {seed:016x}"))?;
     }
-    let installation_file = put("installation.xml", installation)?;
-    let file = put("config.json", &config.to_string())?;
+    let installation_file = write_file("installation.xml", installation)?;
+    let file = write_file("config.json", &config.to_string())?;
     let config = Config::read(&file)?;
     let settings = InstallationSettings::read(&installation_file, &config)?;
-    Ok(Prepared {
+    Ok(PreparedProgram {
         _directory: directory,
         file,
         installation_file,
@@ -58,12 +58,12 @@
     })
 }
 
-/// Runs one program; `ready` is told where it listens.
-pub(super) async fn serve_one(
-    prepared: Prepared,
+/// Runs one program; calls `ready` with the address on which it listens.
+pub(super) async fn serve_program(
+    prepared: PreparedProgram,
     ready: impl FnOnce(SocketAddr),
 ) -> Result<(), DemoError> {
-    let Prepared {
+    let PreparedProgram {
         _directory,
         file,
         installation_file,
@@ -77,12 +77,12 @@
     Ok(serve::serve(config, settings, files, ready).await?)
 }
 
-/// Starts stub replicas and gives the endpoint list that names them.
+/// Starts stub replicas and returns the membership list that contains them.
 fn start_replicas(seed: u64) -> String {
     let treatment = |sub_request: &SubRequest| {
         let is_late = sub_request.shard == LATE_SHARD && sub_request.text == "pledges";
         Treatment {
-            delay: if is_late { LATE_DELAY } else { USUAL_DELAY },
+            delay: if is_late { LATE_DELAY } else { NORMAL_DELAY },
             behavior: Behavior::Respond,
         }
     };
@@ -93,8 +93,8 @@
     membership(1, true, entries.collect())
 }
 
-/// Starts stub service discovery for an endpoint list and gives a configuration that uses it.
-fn configuration(endpoints: &str) -> Value {
+/// Starts stub service discovery that serves a membership list, and returns a configuration that uses it.
+fn configuration(known_members: &str) -> Value {
     let index = |name| IndexSettings {
         name,
         non_idempotent: false,
@@ -102,29 +102,29 @@
         floor: 0.5,
     };
     let indexes = ["history", "pledges", "charities"].map(index);
-    let discovery = ServiceDiscovery::start(endpoints.to_owned());
+    let discovery = ServiceDiscovery::start(known_members.to_owned());
     let config = config_of(
         discovery.address,
-        endpoints,
+        known_members,
         &indexes,
         REPLICA_GROUPS,
         SHARDS,
     );
-    // Its thread must answer until the program ends.
+    // Its thread must serve requests until the process ends.
     std::mem::forget(discovery);
     config
 }
 
 /// The programs to run.
 pub(super) struct Programs {
-    /// The one that is queried.
-    pub(super) queried: Prepared,
-    /// With two sites, the one through which it reaches all replicas.
-    pub(super) gateway: Option<Prepared>,
+    /// The program that the demo queries.
+    pub(super) queried: PreparedProgram,
+    /// With two sites, the gateway through which the queried program reaches all replicas.
+    pub(super) gateway: Option<PreparedProgram>,
 }
 
 impl Programs {
-    /// Starts what the programs need, and writes their files.
+    /// Starts the stub replicas and stub service discovery, and writes the programs' files.
     pub(super) fn prepare(seed: u64, scenario: Scenario) -> Result<Programs, DemoError> {
         let with_replicas = configuration(&start_replicas(seed));
         if scenario != Scenario::TwoSites {
--- a/crates/linenthread-service/src/demo/queries.rs
+++ b/crates/linenthread-service/src/demo/queries.rs
@@ -1,4 +1,4 @@
-//! Queries of the demo's program: as commands to be typed, or asked here and shown.
+//! The demo's queries: prints them as shell commands, or sends them and prints the responses.
 
 use std::net::SocketAddr;
 use std::thread;
@@ -11,44 +11,44 @@
 
 /// The status of a query that succeeded.
 const OK: u16 = 200;
-/// How often it is tried to reach a replica.
+/// Maximum number of test queries that are sent until one succeeds.
 const MAX_REACH_ATTEMPTS: usize = 100;
-/// The pause between two of these attempts.
+/// Pause between two test queries.
 const REACH_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A query that is asked and shown.
-struct ShownQuery {
+/// A query of the demo, with the title that is printed above its response.
+struct DemoQuery {
     title: &'static str,
     index: &'static str,
 }
 
-/// The queries of the printed commands.
-const SHOWN_QUERIES: [ShownQuery; 4] = [
-    ShownQuery {
+/// The same queries as in the printed commands.
+const DEMO_QUERIES: [DemoQuery; 4] = [
+    DemoQuery {
         title: "page one of all donations, latest first",
         index: "history",
     },
-    ShownQuery {
+    DemoQuery {
         title: "page two",
         index: "history",
     },
-    ShownQuery {
+    DemoQuery {
         title: "the total of all pledges, without shard 5, whose response is too late",
         index: "pledges",
     },
-    ShownQuery {
+    DemoQuery {
         title: "the three charities with the most, and the rest",
         index: "charities",
     },
 ];
 
-/// All shards with equal weights, as a request names them.
+/// Returns the "buckets" field of a request: all shards with equal weights.
 fn buckets() -> Value {
     let part = |shard| json!({"bucket": shard, "part": 1.0 / SHARDS as f64});
     (0..SHARDS).map(part).collect::<Vec<_>>().into()
 }
 
-/// The commands to query the program by hand.
+/// Returns the shell commands that query the program.
 pub(super) fn commands(address: SocketAddr) -> String {
     let curl = |index: &str, page: &str| {
         format!(
@@ -57,11 +57,11 @@
             buckets()
         )
     };
-    let mark = "MARK=$(printf %s \"$PAGE\" | sed 's/.*\"next\":\"\\([^\"]*\\)\".*/\\1/')";
+    let extract_cursor = "MARK=$(printf %s \"$PAGE\" | sed 's/.*\"next\":\"\\([^\"]*\\)\".*/\\1/')";
     format!(
         "The co-ordinator listens on {address}, with {REPLICA_GROUPS} replicas of {SHARDS} shards behind it. Query it:\n\n\
          # Page one of all donations, latest first, and page two.\n\
-         PAGE=$({})\nprintf '%s\\n' \"$PAGE\"\n{mark}\n{}\n\n\
+         PAGE=$({})\nprintf '%s\\n' \"$PAGE\"\n{extract_cursor}\n{}\n\n\
          # The total of all pledges. The response of shard {LATE_SHARD} is too late: the total says that it is missing.\n{}\n\n\
          # The three charities with the most, and the rest as one.\n{}\n\nCtrl-C stops it.",
         curl("history", ",\"page\":{\"rows\":5}"),
@@ -71,12 +71,12 @@
     )
 }
 
-/// Asks what the printed commands ask, and prints the answers; returns whether all were answered.
+/// Sends the queries of the printed commands and prints the responses; returns whether all queries succeeded.
 pub(super) fn show(address: SocketAddr) -> bool {
     let shards: Vec<usize> = (0..SHARDS).collect();
     let mut cursor = Value::Null;
-    let mut all_answered = true;
-    for (number, query) in SHOWN_QUERIES.iter().enumerate() {
+    let mut all_succeeded = true;
+    for (number, query) in DEMO_QUERIES.iter().enumerate() {
         let index = query.index;
         let page = if index == "history" {
             json!({"rows": 5, "after": cursor})
@@ -87,13 +87,14 @@
         let MergedResponse { status, body } =
             Client::connect(address).query_merged(index, &id, &shards, index, &page);
         cursor = body["next"].clone();
-        all_answered &= status == OK;
+        all_succeeded &= status == OK;
         println!("# {}\n{status} {body:#}\n", query.title);
     }
-    all_answered
+    all_succeeded
 }
 
-/// Waits until there are replicas to query, as a link takes a moment to come up; returns whether there are.
+/// Waits until replicas can be queried, as a link takes some time to connect; returns `false` if they cannot be queried
+/// after [`MAX_REACH_ATTEMPTS`] attempts.
 pub(super) fn wait_until_reachable(address: SocketAddr) -> bool {
     for number in 0..MAX_REACH_ATTEMPTS {
         let id = format!("try-first-{number}");
--- a/crates/linenthread-service/src/demo/sites.rs
+++ b/crates/linenthread-service/src/demo/sites.rs
@@ -6,12 +6,12 @@
 use tokio::sync::oneshot;
 
 use super::error::DemoError;
-use super::programs::{Programs, serve_one};
+use super::programs::{Programs, serve_program};
 use super::queries::{commands, show, wait_until_reachable};
 use super::{DemoOptions, Scenario};
 use crate::log;
 
-/// Runs until SIGINT or SIGTERM, or shows some answers and ends.
+/// Runs until SIGINT or SIGTERM, or, with `--show`, until the responses are printed.
 pub(super) fn run(options: &DemoOptions) -> Result<(), DemoError> {
     let scenario = options.scenario();
     let Programs { queried, gateway } = Programs::prepare(options.seed, scenario)?;
@@ -32,23 +32,24 @@
     }
     let serve_gateway = async {
         match gateway {
-            Some(gateway) => serve_one(gateway, |_| {}).await,
+            Some(gateway) => serve_program(gateway, |_| {}).await,
             None => Ok(()),
         }
     };
-    let serve_both = async { tokio::join!(serve_one(queried, ready), serve_gateway).0 };
+    let serve_both = async { tokio::join!(serve_program(queried, ready), serve_gateway).0 };
     let until_end = async {
         tokio::select! {
             served = serve_both => served,
-            Ok(all_answered) = shown => {
-                if all_answered { Ok(()) } else { Err(DemoError::Unanswered) }
+            Ok(all_succeeded) = shown => {
+                if all_succeeded { Ok(()) } else { Err(DemoError::Unanswered) }
             }
         }
     };
     actix_rt::System::new().block_on(until_end)
 }
 
-/// Shows the answers in a thread of its own, as its client blocks; `done` gets whether all queries were answered.
+/// Sends the queries and prints the responses in a separate thread, as its client blocks. Sends on `done` whether all
+/// queries succeeded.
 fn show_in_thread(address: SocketAddr, done: oneshot::Sender<bool>) {
     thread::spawn(move || done.send(wait_until_reachable(address) && show(address)));
 }
--- a/crates/linenthread-service/src/demo/zones.rs
+++ b/crates/linenthread-service/src/demo/zones.rs
@@ -1,4 +1,4 @@
-//! The demo of three zones: one is lost and comes back.
+//! The demo of three zones, of which one is lost and recovers.
 
 use std::process::ExitCode;
 use std::thread;
@@ -6,10 +6,11 @@
 
 use linenthread_fakes::rig::{Rig, RigConfig, Route, ZonePair};
 
-/// The zone that is lost and comes back.
+/// The zone that is lost and recovers.
 const LOST_ZONE: usize = 2;
 
-/// Prints the sub-requests from each zone to each zone since some moment.
+/// Prints the numbers of sub-requests between each pair of zones; `since` is a position in the list of executed
+/// sub-requests.
 fn print_flows(rig: &Rig, names: &[&str], since: usize) {
     let flows = rig.traffic(since);
     for (from, name) in names.iter().enumerate() {
@@ -22,7 +23,8 @@
     }
 }
 
-/// Runs the demo of three zones in a thread, which ends with a panic's message if what it awaits does not come.
+/// Runs the demo of three zones in a separate thread, which panics with a message if an expected event does not occur
+/// in time.
 pub(super) fn run(seed: u64) -> ExitCode {
     let exe = match std::env::current_exe() {
         Ok(exe) => exe.to_string_lossy().into_owned(),
@@ -37,19 +39,19 @@
     }
 }
 
-/// Three zones, each of a co-ordinator and two replicas, with a common routing table: one is killed and comes back.
-/// Returns whether all invariants hold.
+/// Runs three zones with a common routing table, each with a co-ordinator and two replicas; one zone is killed and
+/// restarted. Returns whether all invariants hold.
 fn show_zones(exe: &str, seed: u64) -> bool {
-    let plan = RigConfig {
+    let config = RigConfig {
         seed,
         ..RigConfig::default()
     };
-    let names: Vec<&str> = plan.zones.iter().map(|zone| zone.name).collect();
+    let names: Vec<&str> = config.zones.iter().map(|zone| zone.name).collect();
     println!(
         "Three co-ordinators in {} bootstrap a fleet.",
         names.join(", ")
     );
-    let mut rig = Rig::start_all(exe, plan);
+    let mut rig = Rig::start_all(exe, config);
     rig.start_clients(25);
     rig.wait_until_serving(&[0, 1, 2], 20);
     let since = rig.executed();
@@ -67,7 +69,7 @@
     violations.is_empty()
 }
 
-/// Kills a zone and waits until the others act on a table without it.
+/// Kills a zone and waits until the others use a routing table without it.
 fn lose_zone(rig: &mut Rig, names: &[&str], lost: usize) {
     let from = [rig.log_position(0), rig.log_position(1)];
     println!(
@@ -98,7 +100,7 @@
     );
 }
 
-/// Starts a zone again and waits until all keys are routed to it.
+/// Restarts a zone and waits until the route to it is healthy again.
 fn restore_zone(rig: &mut Rig, names: &[&str], lost: usize) {
     let from = rig.log_position(0);
     println!("{} is started again.", names[lost]);
--- a/crates/linenthread-service/src/fleet/connection.rs
+++ b/crates/linenthread-service/src/fleet/connection.rs
@@ -1,4 +1,4 @@
-//! The sending side of one connection between members: a bounded queue of bytes.
+//! The sending side of a connection between members: a bounded queue of bytes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,10 +7,10 @@
 use snafu::Snafu;
 use tokio::sync::Notify;
 
-/// Bytes that may wait for one connection; beyond that it is closed.
+/// Maximum bytes that may be queued for one connection; beyond that it is closed.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a connection ended. The text goes to the log.
+/// The reason why a connection ended, as written to the log.
 #[derive(Debug, Snafu)]
 pub(super) enum ConnectionEnd {
     #[snafu(display("closed by the peer"))]
@@ -20,27 +20,27 @@
     #[snafu(display("the peer has stopped reading"))]
     StalledPeer,
     #[snafu(display("{reason}"))]
-    ClosedHere { reason: String },
+    ClosedLocally { reason: String },
     #[snafu(display("{source}"))]
     Io { source: io::Error },
 }
 
-/// Bytes that are being written.
-pub(super) struct PartlyWritten {
+/// A message of which a part has been written.
+pub(super) struct PartialWrite {
     bytes: Vec<u8>,
     written: usize,
 }
 
-impl PartlyWritten {
-    pub(super) fn new(bytes: Vec<u8>) -> PartlyWritten {
-        PartlyWritten { bytes, written: 0 }
+impl PartialWrite {
+    pub(super) fn new(bytes: Vec<u8>) -> PartialWrite {
+        PartialWrite { bytes, written: 0 }
     }
 
-    pub(super) fn rest(&self) -> &[u8] {
+    pub(super) fn remaining(&self) -> &[u8] {
         &self.bytes[self.written..]
     }
 
-    /// Counts written bytes; returns whether these were the last.
+    /// Counts written bytes; returns whether the message is written completely.
     pub(super) fn advance(&mut self, count: usize) -> bool {
         self.written += count;
         self.written >= self.bytes.len()
@@ -49,13 +49,13 @@
 
 /// The sending side of one connection.
 pub(super) struct Connection {
-    /// Bytes that wait to be written.
+    /// Messages that wait to be written.
     pub(super) queue: RefCell<VecDeque<Vec<u8>>>,
-    /// How many bytes wait.
+    /// The number of bytes that are queued or being written.
     pub(super) queued_bytes: Cell<usize>,
-    /// Why the connection is to be closed, once it is.
+    /// Set if the connection is to be closed: the reason.
     pub(super) close: RefCell<Option<ConnectionEnd>>,
-    /// Wakes the task that serves the connection.
+    /// Wakes the task that reads and writes the connection.
     pub(super) changed: Notify,
 }
 
@@ -69,24 +69,24 @@
         }
     }
 
-    /// Queues bytes; a peer that lets too many of them wait is disconnected.
+    /// Queues bytes. Closes the connection if more than [`MAX_QUEUED_BYTES`] are queued.
     pub(super) fn write(&self, bytes: Vec<u8>) {
         self.queued_bytes.set(self.queued_bytes.get() + bytes.len());
-        if self.is_overfull() {
+        if self.exceeds_limit() {
             self.close.replace(Some(ConnectionEnd::SlowPeer));
         }
         self.queue.borrow_mut().push_back(bytes);
         self.changed.notify_one();
     }
 
-    /// Closes the connection once the queue is written.
+    /// Closes the connection once the queued bytes are written.
     pub(super) fn close(&self, reason: String) {
         self.close
-            .replace(Some(ConnectionEnd::ClosedHere { reason }));
+            .replace(Some(ConnectionEnd::ClosedLocally { reason }));
         self.changed.notify_one();
     }
 
-    pub(super) fn is_overfull(&self) -> bool {
+    pub(super) fn exceeds_limit(&self) -> bool {
         self.queued_bytes.get() > MAX_QUEUED_BYTES
     }
 }
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -1,4 +1,4 @@
-//! The event loop of a member: it feeds the fleet's state machine and carries out the actions that it returns.
+//! The event loop of a member: passes inputs to the fleet's state machine and carries out the actions that it returns.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,16 +29,16 @@
 use crate::clock::{Clock, to_tenths};
 use crate::log::LogRateLimit;
 
-/// SIGXFSZ, which a write beyond the file size limit raises.
+/// SIGXFSZ, which the kernel sends when a write exceeds the file size limit.
 const FILE_SIZE_SIGNAL: i32 = 25;
 /// Time between two reports of a member's observations to the leader.
 pub(super) const REPORT_INTERVAL: TenthMillis = 5_000;
 /// Shortest sleep of the event loop.
 const MIN_SLEEP: TenthMillis = 10;
-/// Time between two attempts to open the directory of a voter whose disk has failed.
+/// Time between two attempts to reopen the directory of a voter whose disk has failed.
 const VOTER_RETRY_INTERVAL: TenthMillis = 100_000;
 
-/// State of a member, which the tasks of its thread share.
+/// The state of a member, shared by the tasks of its thread.
 pub(super) struct Inner {
     pub(super) config: MemberConfig,
     pub(super) clock: Clock,
@@ -50,29 +50,29 @@
     pub(super) log_limit: LogRateLimit,
     pub(super) connection_log_limit: LogRateLimit,
     pub(super) observation_log_limit: LogRateLimit,
-    /// Observations that no decision and no report has used yet.
+    /// Observations that were neither used for a decision nor reported to the leader yet.
     pub(super) observations: RefCell<Report>,
     pub(super) topology: RefCell<Option<Topology>>,
-    /// Set while this member leads and there are zones.
+    /// Set while this member is the leader and zones are configured.
     pub(super) failover: RefCell<Option<FailoverController>>,
-    /// Encoded orders that wait for this member, the leader, to carry them out.
+    /// Encoded orders that this member, as the leader, has not processed yet.
     pub(super) pending_orders: RefCell<Vec<Vec<u8>>>,
     pub(super) reported_at: Cell<TenthMillis>,
     pub(super) proposed_at: Cell<TenthMillis>,
-    voter_tried_at: Cell<TenthMillis>,
+    voter_retried_at: Cell<TenthMillis>,
 }
 
-/// A member of the fleet; clones share one state.
+/// A member of the fleet; clones share the same state.
 #[derive(Clone)]
 pub(super) struct Member(pub(super) Rc<Inner>);
 
-/// Milliseconds since the Unix epoch.
+/// Returns the system time in milliseconds since the Unix epoch.
 pub(super) fn unix_ms() -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(unix.unwrap_or_default().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Opens a voter's directory; `None` for a member that is no voter.
+/// Opens the voter's directory; returns `None` if the member is not a voter.
 fn open_voter_directory(config: &MemberConfig) -> Result<Option<Directory>, VoterDirectoryError> {
     let name = &config.name;
     if !config.fleet.voters.iter().any(|voter| voter.name == *name) {
@@ -109,11 +109,12 @@
 }
 
 impl Member {
-    /// Opens the voter's log, if there is one, and starts to accept connections and datagrams.
+    /// Opens the voter's log, if the member is a voter, and starts to accept connections and datagrams.
     ///
     /// # Errors
     ///
-    /// The voter's directory must not be used, or the sockets cannot be registered with the runtime.
+    /// Returns an error if the voter's directory or log cannot be opened, or the sockets cannot be registered with the
+    /// runtime.
     pub(super) fn new(
         config: MemberConfig,
         clock: Clock,
@@ -144,10 +145,10 @@
             pending_orders: RefCell::default(),
             reported_at: Cell::new(now),
             proposed_at: Cell::new(now),
-            voter_tried_at: Cell::new(now),
+            voter_retried_at: Cell::new(now),
         }));
         member.execute(actions);
-        // With a handler, a write beyond the limit fails with an error in place of the end of the process.
+        // The default action of the signal ends the process. With a handler, the write fails with an error instead.
         if let Ok(mut file_size) = signal(SignalKind::from_raw(FILE_SIZE_SIGNAL)) {
             spawn_local(async move { while file_size.recv().await.is_some() {} });
         }
@@ -156,7 +157,7 @@
         Ok(member)
     }
 
-    /// Runs until the member is to leave.
+    /// Runs the event loop until a message to leave is received or the sender is dropped.
     pub(super) async fn run(self, mut received: mpsc::UnboundedReceiver<ToFleet>) {
         info!(
             voter = self.0.fleet.borrow().stage().is_some(),
@@ -193,7 +194,7 @@
         wake_at.min(now + REPORT_INTERVAL).max(now + MIN_SLEEP)
     }
 
-    /// Gives the state machine an input, carries out its actions and wakes the event loop.
+    /// Passes an input to the state machine, carries out the resulting actions and wakes the event loop.
     pub(super) fn step(
         &self,
         input: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetAction>),
@@ -202,7 +203,7 @@
         self.0.woken.notify_one();
     }
 
-    /// As [`Member::step`], for the event loop itself, which looks at its timers next in any case.
+    /// As [`Member::step`], but for calls from the event loop, which checks its timers next in any case.
     fn step_without_wake(
         &self,
         input: impl FnOnce(&mut Fleet<Directory>, TenthMillis, &mut Vec<FleetAction>),
@@ -213,7 +214,7 @@
         self.execute(actions);
     }
 
-    /// Carries out actions of the state machine, in their order.
+    /// Carries out actions of the state machine in order.
     pub(super) fn execute(&self, actions: Vec<FleetAction>) {
         for action in actions {
             self.execute_one(action);
@@ -238,14 +239,14 @@
                     connection.close(reason);
                 }
             }
-            // A datagram that cannot be sent is as good as one that is lost on its way.
+            // A datagram that cannot be sent counts as lost in the network.
             FleetAction::Datagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
             FleetAction::Committed(value) => self.on_committed(value),
-            FleetAction::MemberUp(who) => {
-                info!(member = who.name, zone = who.zone, "fleet member up");
+            FleetAction::MemberUp(node) => {
+                info!(member = node.name, zone = node.zone, "fleet member up");
             }
-            FleetAction::MemberDown(who) => {
-                warn!(member = who.name, zone = who.zone, "fleet member down");
+            FleetAction::MemberDown(node) => {
+                warn!(member = node.name, zone = node.zone, "fleet member down");
             }
             FleetAction::Report { from, bytes } => self.on_report(&from, bytes),
             FleetAction::LogConnection(line) => {
@@ -261,14 +262,14 @@
         }
     }
 
-    /// Takes part as a voter again once a disk that failed works.
+    /// Reopens the voter, whose disk had failed, at intervals until the disk works again.
     fn reopen_voter(&self) {
         let now = self.0.clock.now();
-        let retry_at = self.0.voter_tried_at.get() + VOTER_RETRY_INTERVAL;
+        let retry_at = self.0.voter_retried_at.get() + VOTER_RETRY_INTERVAL;
         if !self.0.fleet.borrow().is_stopped() || now < retry_at {
             return;
         }
-        self.0.voter_tried_at.set(now);
+        self.0.voter_retried_at.set(now);
         let directory = open_voter_directory(&self.0.config)
             .and_then(|directory| directory.context(NotVoterSnafu));
         match directory {
--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! This process as a member of the fleet: gossip, the voter's log and decisions on zones.
+//! Membership of this process in the fleet: gossip, the voter's log and decisions on zones.
 //!
-//! The state machines of `linenthread-fleet` and `linenthread-zones` decide; this module gives them sockets, files
-//! and clocks. It runs on a thread of its own, so that a voter that waits for its disk delays no query. [`start`] is
-//! the entry point; the rest of the process talks to the thread by [`ToFleet`] and [`FromFleet`].
+//! The state machines of `linenthread-fleet` and `linenthread-zones` contain the logic; this module connects them to
+//! sockets, files and clocks. It runs on a separate thread, so that a voter that waits for its disk does not delay
+//! queries. [`start`] is the entry point; the rest of the process exchanges the messages [`ToFleet`] and [`FromFleet`]
+//! with the thread.
 
 mod connection;
 mod error;
@@ -31,17 +32,17 @@
 use member::Member;
 pub(crate) use orders::{Order, Orders, ZoneChange};
 
-/// Topic of the fleet's log under which the routing table stands.
+/// Topic of the routing table in the fleet's log.
 pub(crate) const TABLE_TOPIC: &str = "zones.table";
-/// Topic of the fleet's log under which the operators' orders stand.
+/// Topic of the operators' orders in the fleet's log.
 pub(crate) const ORDERS_TOPIC: &str = "zones.orders";
 
-/// Time for the farewell to the other members to leave the sockets.
+/// Time for the sockets to send the leave messages to the other members.
 const LEAVE_GRACE: Duration = Duration::from_millis(150);
 
 /// A message to the fleet's thread.
 pub(crate) enum ToFleet {
-    /// What this process has observed of the zones.
+    /// This process's observations of the zones.
     Observed(ZoneReport),
     /// Leave the fleet and end the thread.
     Leave,
@@ -49,38 +50,38 @@
 
 /// A message from the fleet's thread.
 pub(crate) enum FromFleet {
-    /// A routing table was committed under this number.
+    /// A routing table was committed with this number in the fleet's log.
     Table { number: u64, table: RoutingTable },
 }
 
-/// What a process needs to join the fleet.
+/// The configuration with which a process joins the fleet.
 #[derive(Clone)]
 pub(crate) struct MemberConfig {
     /// The member's name, unique in the fleet.
     pub name: String,
     pub fleet: file::Fleet,
-    /// Without zones the member decides nothing on them.
+    /// If `None`, the member takes no part in decisions on zones.
     pub zones: Option<file::Zones>,
     pub secrets: Secrets,
     /// Seed of the random numbers of gossip and elections.
     pub seed: u64,
 }
 
-/// Owner's end of the fleet's thread.
+/// Handle to the fleet's thread.
 pub(crate) struct FleetHandle {
     pub sender: mpsc::UnboundedSender<ToFleet>,
     ended: blocking::Receiver<()>,
 }
 
 impl FleetHandle {
-    /// Leaves the fleet and waits, for a few grace periods at most, until the thread has ended.
+    /// Leaves the fleet and waits until the thread has ended, for four times [`LEAVE_GRACE`] at most.
     pub(crate) fn leave(&self) {
         self.sender.send(ToFleet::Leave).ok();
         self.ended.recv_timeout(LEAVE_GRACE * 4).ok();
     }
 }
 
-/// The zones of the installation file, in its order.
+/// Converts the zones of the installation file, in the file's order.
 pub(crate) fn configured_zones(zones: &file::Zones) -> Vec<Zone> {
     let zone = |zone: &file::Zone| Zone {
         name: zone.name.clone(),
@@ -94,7 +95,8 @@
 ///
 /// # Errors
 ///
-/// It cannot listen, or the voter's directory must not be used.
+/// Returns an error if the thread cannot be started, the process cannot listen for other members, or the voter's
+/// directory or log cannot be opened.
 pub(crate) fn start(
     config: MemberConfig,
     clock: Clock,
@@ -133,7 +135,7 @@
     Ok(FleetHandle { sender, ended })
 }
 
-/// The sockets of a member, both on its one address.
+/// The sockets of a member, both bound to the same address.
 struct Sockets {
     tcp: TcpListener,
     udp: UdpSocket,
--- a/crates/linenthread-service/src/fleet/orders.rs
+++ b/crates/linenthread-service/src/fleet/orders.rs
@@ -1,15 +1,15 @@
-//! The operators' orders to drain zones, as they are sent to the leader and as they stand in the log.
+//! The operators' orders to drain or restore zones: their encoding in reports to the leader and in the fleet's log.
 
 use std::collections::BTreeSet;
 
 use linenthread_frames::{DecodeError, Decoder, Encoder};
 
-/// First byte of a report that carries a member's observations.
+/// First byte of a report with a member's observations.
 pub(super) const OBSERVATIONS: u8 = 1;
-/// First byte of a report that carries an operator's order.
+/// First byte of a report with an operator's order.
 pub(super) const ORDER: u8 = 2;
 
-/// The zones drained by order, and the outcome of the last order.
+/// The zones that are drained by order, and the outcome of the last order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Orders {
     pub drained: BTreeSet<String>,
@@ -42,18 +42,18 @@
     }
 }
 
-/// What an operator asks of a zone.
+/// The change of a zone that an operator orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneChange {
-    /// All co-ordinators leave the zone.
+    /// All co-ordinators stop sending sub-requests to the zone.
     Drain,
-    /// The zone is taken back, step by step.
+    /// Traffic to the zone is restored in steps.
     Return,
 }
 
-/// One operator's order on its way to the leader.
+/// An operator's order to the leader.
 pub(crate) struct Order {
-    /// Drawn by the operator's program, to recognise the order in the log.
+    /// Chosen by the operator's command, to recognise the order in the log.
     pub number: u64,
     pub zone: String,
     pub change: ZoneChange,
@@ -70,7 +70,7 @@
         encoder.into_bytes()
     }
 
-    /// Decodes the report without its first byte.
+    /// Decodes an order from a report without its first byte.
     pub(super) fn decode(bytes: &[u8]) -> Result<Order, DecodeError> {
         let mut decoder = Decoder::new(bytes);
         Ok(Order {
--- a/crates/linenthread-service/src/fleet/sockets.rs
+++ b/crates/linenthread-service/src/fleet/sockets.rs
@@ -1,4 +1,5 @@
-//! The fleet's sockets: tasks that accept and serve TCP connections between members, and receive gossip datagrams.
+//! Tasks for the sockets of a member: accept, read and write TCP connections between members, and receive gossip
+//! datagrams.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,22 +12,21 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-use super::connection::{Connection, ConnectionEnd, PartlyWritten};
+use super::connection::{Connection, ConnectionEnd, PartialWrite};
 use super::member::Member;
 
-/// Size of a connection's read buffer.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Longest gossip datagram that is read.
+/// Maximum length of a received gossip datagram.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// Time for a connection to be established, and for the last bytes of a closing one to be taken.
+/// Time limit for establishing a connection, and for writing the last bytes of one that is being closed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a failed accept, so that a lack of descriptors does not spin.
+/// Pause after a failed accept, so that the loop does not spin when no descriptors are left.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Pause after a failed receive of a datagram.
+/// Pause after a failure to receive a datagram.
 const DATAGRAM_RETRY: Duration = Duration::from_millis(5);
 
 impl Member {
-    /// Accepts connections of other members.
+    /// Accepts connections from other members.
     pub(super) async fn accept(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -62,7 +62,7 @@
         let member = self.clone();
         spawn_local(async move {
             let end = member.serve(stream, number, &connection).await;
-            // The only place where a connection is removed.
+            // Connections are removed nowhere else.
             member.0.connections.borrow_mut().remove(&number);
             member.step(|fleet, now, actions| fleet.on_closed(now, number, actions));
             if let Some(suppressed) = member.0.connection_log_limit.admit() {
@@ -71,7 +71,7 @@
         });
     }
 
-    /// Reads and writes until the connection ends; returns why it did.
+    /// Reads and writes until the connection ends; returns the reason.
     async fn serve(
         &self,
         mut stream: TcpStream,
@@ -81,19 +81,19 @@
         stream.set_nodelay(true).ok();
         let (mut reader, mut writer) = stream.split();
         let mut buffer = vec![0; READ_BUFFER_BYTES];
-        let mut writing: Option<PartlyWritten> = None;
+        let mut writing: Option<PartialWrite> = None;
         loop {
             if writing.is_none() {
                 let next = connection.queue.borrow_mut().pop_front();
-                writing = next.map(PartlyWritten::new);
+                writing = next.map(PartialWrite::new);
             }
-            // What was queued before the close is written first, unless the peer takes nothing.
-            if (writing.is_none() || connection.is_overfull())
+            // Bytes queued before the close are written first, unless the queue exceeds its limit.
+            if (writing.is_none() || connection.exceeds_limit())
                 && let Some(end) = connection.close.take()
             {
                 return end;
             }
-            let rest = writing.as_ref().map_or(&[][..], PartlyWritten::rest);
+            let remaining = writing.as_ref().map_or(&[][..], PartialWrite::remaining);
             tokio::select! {
                 read = reader.read(&mut buffer) => match read {
                     Ok(0) => return ConnectionEnd::ClosedByPeer,
@@ -102,7 +102,7 @@
                     }),
                     Err(source) => return ConnectionEnd::Io { source },
                 },
-                wrote = writer.write(rest), if !rest.is_empty() => match wrote {
+                wrote = writer.write(remaining), if !remaining.is_empty() => match wrote {
                     Ok(count) => {
                         let queued_bytes = connection.queued_bytes.get().saturating_sub(count);
                         connection.queued_bytes.set(queued_bytes);
@@ -111,7 +111,7 @@
                     Err(source) => return ConnectionEnd::Io { source },
                 },
                 () = connection.changed.notified() => {}
-                // A closing peer that takes nothing is not waited for.
+                // If the connection is closing, a peer that has stopped reading is not waited for.
                 () = sleep(CONNECT_TIMEOUT), if connection.close.borrow().is_some() => {
                     return ConnectionEnd::StalledPeer;
                 }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Passes gossip on to the state machine.
+    /// Receives gossip datagrams and passes them to the state machine.
     pub(super) async fn receive_datagrams(self) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
@@ -127,7 +127,7 @@
                 Ok((count, _)) => self.step(|fleet, now, actions| {
                     fleet.on_datagram(now, &buffer[..count], actions);
                 }),
-                // An error here reports that an earlier datagram met a closed port: no fault of this socket.
+                // An error reports that an earlier datagram was sent to a closed port; the socket remains usable.
                 Err(_) => sleep(DATAGRAM_RETRY).await,
             }
         }
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions on zones: members report observations and orders to the leader, which proposes routing tables.
+//! Decisions on zones: members report observations and operators' orders to the leader, which proposes routing tables.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{CommittedValue, ConditionalWrite, NumberedValue};
@@ -13,15 +13,15 @@
 use super::{FromFleet, ORDERS_TOPIC, TABLE_TOPIC};
 use crate::clock::to_tenths;
 
-/// Orders that may wait for the leader's next decision; more are dropped, and their senders repeat them.
+/// Maximum number of orders that wait for the leader's next decision. Further orders are dropped; their senders retry.
 const MAX_PENDING_ORDERS: usize = 64;
-/// Milliseconds until a new table becomes valid, so that all members have received it by then.
+/// Milliseconds between the proposal of a table and its validity, in which all members should receive it.
 const TABLE_LEAD_MS: u64 = 300;
 
-/// The committed value of a topic; 0 is the number of none.
+/// The committed value of a topic. If none is committed, the number is 0 and the value is the default.
 #[derive(Default)]
 struct Committed<T> {
-    /// Its number in the fleet's log.
+    /// The value's number in the fleet's log.
     number: u64,
     value: T,
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Carries out one operator's order, or records why it is rejected.
+/// Applies an operator's order, or records why it is rejected.
 fn apply_order(topology: &Topology, orders: &mut Orders, order: Order) {
     orders.last_order = order.number;
     orders.rejection.clear();
@@ -54,7 +54,7 @@
 }
 
 impl Member {
-    /// Passes a committed table on to the coordinator driver, and logs committed orders.
+    /// Passes a committed routing table to the coordinator driver, and logs committed orders.
     pub(super) fn on_committed(&self, committed: CommittedValue) {
         let CommittedValue {
             topic,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes in a member's observations or an operator's order; a follower forwards an order to the leader.
+    /// Handles a report with a member's observations or an operator's order. A follower forwards orders to the leader.
     pub(super) fn on_report(&self, from: &str, bytes: Vec<u8>) {
         match bytes.first() {
             Some(&OBSERVATIONS) => match Report::decode(&bytes[1..]) {
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Reports this member's observations to the leader; as the leader, decides when it is time to.
+    /// As a follower, reports this member's observations to the leader. As the leader, applies pending orders and
+    /// proposes a routing table, if a decision is due.
     pub(super) fn decide_on_zones(&self) {
         let now = self.0.clock.now();
         let Some(zones) = &self.0.config.zones else {
@@ -124,7 +125,7 @@
         self.propose_table(zones, &topology, now);
     }
 
-    /// Reports this member's observations, at intervals.
+    /// Reports this member's observations to the leader every [`REPORT_INTERVAL`].
     fn report_observations(&self, now: TenthMillis) {
         if now < self.0.reported_at.get() + REPORT_INTERVAL {
             return;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// An order is decided on at once, all else at the controller's intervals.
+    /// Reports whether the leader has to decide now: at the controller's intervals, and at once if an order is pending.
     fn decision_is_due(&self, now: TenthMillis) -> bool {
         let failover = self.0.failover.borrow();
         let is_early = failover
@@ -146,14 +147,14 @@
         !is_early || !self.0.pending_orders.borrow().is_empty()
     }
 
-    /// The committed orders; none where there are none that can be read.
+    /// Returns the committed orders, or the default if none are committed or they cannot be decoded.
     fn committed_orders(&self) -> Committed<Orders> {
         self.committed(ORDERS_TOPIC, |value| {
             Orders::decode(value).unwrap_or_default()
         })
     }
 
-    /// The committed routing table, if it can be read.
+    /// Returns the committed routing table, if there is one and it can be decoded.
     fn committed_table(&self) -> Committed<Option<RoutingTable>> {
         self.committed(TABLE_TOPIC, |value| RoutingTable::decode(value).ok())
     }
@@ -169,7 +170,7 @@
         })
     }
 
-    /// Carries out the latest of the pending orders; an operator whose order is dropped sends it again.
+    /// Applies the latest of the pending orders and drops the others, which operators' commands send again.
     fn apply_pending_orders(&self, topology: &Topology) {
         let Committed {
             number,
@@ -193,7 +194,7 @@
         });
     }
 
-    /// Proposes the table that the controller decides on, if any.
+    /// Proposes the controller's routing table, if there is one to propose.
     fn propose_table(&self, zones: &file::Zones, topology: &Topology, now: TenthMillis) {
         let Committed {
             number,
@@ -221,7 +222,7 @@
         });
     }
 
-    /// The table to propose now, if any.
+    /// Returns the table to propose now, if any.
     fn decide_table(
         &self,
         zones: &file::Zones,
@@ -233,7 +234,7 @@
         if failover.is_none() {
             let known_zones = topology.zones.clone();
             let config = failover_config(zones);
-            // Not an error here: reading the file rejects limits that the controller would reject.
+            // This does not fail: limits that the controller rejects are rejected when the file is read.
             *failover = FailoverController::new(config, known_zones, committed, now).ok();
         }
         let failover = failover.as_mut()?;
@@ -243,7 +244,7 @@
         failover.set_drained(&self.committed_orders().value.drained, now);
         let valid_from_ms = unix_ms() + TABLE_LEAD_MS;
         let table = failover.decide(now, valid_from_ms, topology);
-        // An unchanged table is proposed again well before the members let it expire.
+        // An unchanged table is proposed again well before it expires at the members.
         let renew_at = self.0.proposed_at.get() + to_tenths(zones.table_lifetime) / 3;
         if table.is_none() && now >= renew_at {
             return Some(failover.table(valid_from_ms));
@@ -251,7 +252,7 @@
         table
     }
 
-    /// Logs the routes on which sub-requests failed or were slow.
+    /// Logs the routes on which sub-requests failed or were slow, at a limited rate.
     fn log_faults(&self, observations: &Report) {
         let has_faults = |(_, stats): &(&ZonePair, &RouteStats)| stats.down + stats.slow > 0;
         let routes: Vec<_> = observations.routes.iter().filter(has_faults).collect();
--- a/crates/linenthread-service/src/zones_command/error.rs
+++ b/crates/linenthread-service/src/zones_command/error.rs
@@ -1,4 +1,4 @@
-//! Why `linenthread zones` has failed.
+//! Errors of `linenthread zones`.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 
 use crate::installation::InstallationError;
 
-/// Why the command has failed. Each message is one line.
+/// The reason why the command failed. Each message is one line.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ZonesError {
@@ -33,19 +33,19 @@
     /// The fleet's state machine cannot be started.
     #[snafu(display("{source}"))]
     Follow {
-        /// What is wrong.
+        /// The reason.
         source: OpenError,
     },
-    /// The leader has rejected the order.
+    /// The leader rejected the order.
     #[snafu(display("rejected: {reason}"))]
     Rejected {
         /// The leader's reason.
         reason: String,
     },
-    /// A voter was reached, but no leader has carried the order out in time.
-    #[snafu(display("no leader has responded: nothing was committed, as far as is known here"))]
+    /// A voter was reached, but no leader processed the order in time.
+    #[snafu(display("no leader has responded: no commit has been observed"))]
     NoLeader,
-    /// No voter has sent a committed value in time.
+    /// No voter sent a committed value in time.
     #[snafu(display("no voter could be reached, or nothing is committed yet"))]
     NoVoter,
 }
--- a/crates/linenthread-service/src/zones_command/follower.rs
+++ b/crates/linenthread-service/src/zones_command/follower.rs
@@ -1,5 +1,5 @@
-//! Follows the fleet's log for a moment, as every process of the fleet does that is no voter itself: over one
-//! connection at a time, with sockets that block.
+//! Reads the committed values of the fleet's log in the same way as a member that is not a voter: over one connection at
+//! a time. Uses blocking sockets.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,28 +19,27 @@
 use crate::fleet::{ORDERS_TOPIC, Orders};
 use crate::installation;
 
-/// Once no further value came for so long, all committed ones are here.
+/// If no further value is received for this long, all committed values are assumed to be known.
 const IDLE_PERIOD: Duration = Duration::from_millis(400);
-/// Time for a connection to a voter.
+/// Time limit for connecting to a voter.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for bytes before timers are looked at again.
+/// Longest wait for bytes before timers are checked again.
 const READ_TIMEOUT: Duration = Duration::from_millis(50);
 /// Pause while there is no connection.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
-/// Size of the read buffer.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// The command's clock starts here: 0 stands for long ago.
+/// Reading of the command's clock at its start, so that 0 is in the past.
 const EPOCH: TenthMillis = 1_000_000;
-/// Probe interval of a member that takes no part in gossip: longer than it lives.
+/// Gossip probe interval, longer than the command runs: it takes no part in gossip.
 const PROBE_INTERVAL: TenthMillis = 60_000;
 
-/// A connection to a voter and its number in the state machine.
+/// A connection to a voter, and its number in the state machine.
 struct Connection {
     number: ConnectionId,
     stream: TcpStream,
 }
 
-/// Follows the fleet's log over one connection at a time.
+/// A temporary member of the fleet that receives committed values and can send reports.
 pub(super) struct Follower {
     fleet: Fleet<Directory>,
     connection: Option<Connection>,
@@ -50,7 +49,11 @@
 }
 
 impl Follower {
-    /// Connects to a voter of the installation file's fleet.
+    /// Starts to connect to a voter of the fleet that the installation file names.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the installation file or its secrets cannot be used, or the file has no fleet.
     pub(super) fn start(file: &Path, seed: u64) -> Result<Follower, ZonesError> {
         let known = |_: &str| Some(KnownIndex { min_share: 0.0 });
         let fleet = Installation::read_file(file, &known)?.fleet;
@@ -86,7 +89,8 @@
         EPOCH + clock::to_tenths(self.started.elapsed())
     }
 
-    /// Carries out actions and those that follow from them. Gossip is not for a process that lives for a moment.
+    /// Carries out actions and those that result from them. Datagrams are not sent, as the process takes no part in
+    /// gossip.
     fn execute(&mut self, actions: Vec<FleetAction>) {
         let mut pending = actions;
         while !pending.is_empty() {
@@ -129,7 +133,7 @@
         self.fleet.on_closed(self.now(), number, next);
     }
 
-    /// Runs timers and waits a moment for bytes.
+    /// Runs timers and waits for bytes, for [`READ_TIMEOUT`] at most.
     pub(super) fn poll(&mut self) {
         let (now, mut actions) = (self.now(), Vec::new());
         self.fleet.wake(now, &mut actions);
@@ -154,7 +158,7 @@
         self.execute(actions);
     }
 
-    /// The committed orders; none where there are none that can be read.
+    /// Returns the committed orders, or the default if none are committed or they cannot be decoded.
     pub(super) fn orders(&self) -> Orders {
         let committed = self.value(ORDERS_TOPIC);
         committed
@@ -162,23 +166,23 @@
             .unwrap_or_default()
     }
 
-    /// Whether values were received, and no more come.
+    /// Reports whether committed values were received and none followed for [`IDLE_PERIOD`].
     pub(super) fn is_up_to_date(&self) -> bool {
         self.received_at
             .is_some_and(|received| received.elapsed() > IDLE_PERIOD)
     }
 
-    /// How long it has been following.
+    /// Returns the time since the follower was started.
     pub(super) fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Whether any committed value was received.
+    /// Reports whether any committed value was received.
     pub(super) fn has_received(&self) -> bool {
         self.received_at.is_some()
     }
 
-    /// The committed value of a topic and its number in the log.
+    /// Returns the committed value of a topic and its number in the log.
     pub(super) fn value(&self, topic: &str) -> Option<&NumberedValue> {
         self.fleet.table().value(topic)
     }
--- a/crates/linenthread-service/src/zones_command/mod.rs
+++ b/crates/linenthread-service/src/zones_command/mod.rs
@@ -1,4 +1,4 @@
-//! `linenthread zones`: shows the routing table that the fleet acts on, drains a zone or takes it back.
+//! `linenthread zones`: shows the fleet's routing table, drains a zone or restores a drained one.
 
 mod error;
 mod follower;
@@ -15,29 +15,30 @@
 pub use error::ZonesError;
 use follower::Follower;
 
-/// Time within which the command must succeed.
+/// Time limit of the command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time until an order that was not carried out is sent again.
+/// Time after which an order that was not carried out is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_secs(2);
-/// Least width of a column of the printed table.
+/// Minimum width of a column in the printed table.
 const MIN_COLUMN_WIDTH: usize = 8;
 
-/// What an operator asks of the fleet.
+/// An operator's action on the fleet's zones.
 #[derive(Clone, Debug)]
 pub enum ZonesAction {
-    /// Show the routing table in force.
+    /// Show the routing table in use.
     Show,
-    /// Have all co-ordinators leave the zone.
+    /// Stop all sub-requests to the named zone.
     Drain(String),
-    /// Have the zone taken back, step by step.
+    /// Restore traffic to the named zone in steps.
     Return(String),
 }
 
-/// Carries out an operator's action and says what became of it.
+/// Carries out an operator's action and returns the text to print.
 ///
 /// # Errors
 ///
-/// The file is bad, no voter could be reached, or the order was rejected.
+/// Returns an error if the installation file cannot be used, no voter or no leader responds in time, or the order is
+/// rejected.
 pub fn run(file: &Path, action: &ZonesAction) -> Result<String, ZonesError> {
     let seed = handshake_seed();
     let mut follower = Follower::start(file, seed)?;
@@ -53,7 +54,7 @@
     }
 }
 
-/// Waits until all committed values are here, and describes what the fleet acts on.
+/// Waits until all committed values are received, and formats the routing table in use.
 fn show(follower: &mut Follower) -> Result<String, ZonesError> {
     while follower.elapsed() < COMMAND_TIMEOUT {
         follower.poll();
@@ -64,7 +65,7 @@
     Err(timeout_error(follower))
 }
 
-/// The committed routing table as text, and the zones that are drained by order.
+/// Formats the committed routing table and the list of zones that were drained by order.
 fn describe(follower: &Follower) -> String {
     let Some(NumberedValue { number, value }) = follower.value(TABLE_TOPIC) else {
         return "no routing table is committed yet: all routes are open, the nearest zone first"
@@ -73,8 +74,9 @@
     let Ok(table) = RoutingTable::decode(value) else {
         return "the routing table cannot be decoded by this version".into();
     };
-    let mut text =
-        format!("routing table {number}; keys of a thousand for which each route is open\n");
+    let mut text = format!(
+        "routing table {number}; number of keys per thousand that each route is open for\n"
+    );
     text += &format_table(&table);
     let drained: Vec<String> = follower.orders().drained.into_iter().collect();
     if !drained.is_empty() {
@@ -83,7 +85,7 @@
     text
 }
 
-/// A head line with the zones that traffic goes to, then a line for each zone that it comes from.
+/// Formats a header line with the destination zones, then one line for each source zone.
 fn format_table(table: &RoutingTable) -> String {
     let longest_name = table.zones.iter().map(String::len).max();
     let width = longest_name.unwrap_or(0).max(MIN_COLUMN_WIDTH);
@@ -101,7 +103,7 @@
     text
 }
 
-/// Sends an order, again and again, until the leader has carried it out.
+/// Sends an order repeatedly until the leader has carried it out or rejected it.
 fn submit(follower: &mut Follower, order: &Order) -> Result<String, ZonesError> {
     let mut sent_at: Option<Instant> = None;
     while follower.elapsed() < COMMAND_TIMEOUT {
@@ -128,7 +130,7 @@
     Err(timeout_error(follower))
 }
 
-/// Why the command has not succeeded in time.
+/// Returns the reason why the command did not succeed in time.
 fn timeout_error(follower: &Follower) -> ZonesError {
     if follower.has_received() {
         ZonesError::NoLeader
@@ -137,7 +139,7 @@
     }
 }
 
-/// A new seed for each run: the random numbers of handshakes must not repeat.
+/// Returns a new seed for each run, as the random numbers of handshakes must not repeat.
 fn handshake_seed() -> u64 {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
