--- a/crates/linenthread-service/tests/closed_output.rs
+++ b/crates/linenthread-service/tests/closed_output.rs
@@ -1,4 +1,4 @@
-//! A closed output pipe ends the program quietly.
+//! The program exits without an error message when its output pipe is closed.
 
 use std::process::Command;
 
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -1,4 +1,5 @@
-//! The link between two sites on loopback: the real program at both ends and a proxy that injects faults.
+//! The link between two sites on loopback, with the real program at both ends and a proxy between them that injects
+//! faults.
 
 use std::ops::Range;
 use std::thread::{sleep, spawn};
@@ -23,7 +24,7 @@
         sites.reconnect();
     }
     assert_eq!((verdict.succeeded, &verdict.violations[..]), (6, &[][..]));
-    // Without a link there is no replica to query: the response says so at once.
+    // Without a link no replica can be reached, so the query is rejected at once.
     sites.proxy.set_upstream(None);
     sites.proxy.disconnect();
     sites.local.wait_for_log("replicas behind links remote=0");
@@ -32,21 +33,21 @@
 }
 
 #[test]
-fn a_once_only_sub_request_cut_at_any_byte_runs_at_most_once_and_is_reported_correctly() {
+fn a_disconnection_at_any_byte_does_not_repeat_or_misreport_a_non_idempotent_sub_request() {
     for keep in [3_000, 10] {
         let verdict = disconnect_everywhere(EXE, Duration::from_millis(keep), 9, 4);
         assert_eq!(verdict.violations, [""; 0], "keep {keep}: {verdict:?}");
-        // The number of bytes depends on whether a heartbeat falls into the exchange.
+        // The number of bytes depends on whether a heartbeat is sent during the exchange.
         assert!(verdict.checked > 40 && verdict.succeeded > 0, "{verdict:?}");
     }
 }
 
-/// The turns of one run of faults.
-const FAULT_TURNS: usize = 8;
-/// In every fourth run the gateway is killed for good in this turn.
-const KILL_TURN: usize = 6;
+/// The number of faults that are injected in one run.
+const FAULT_COUNT: usize = 8;
+/// Index of the only fault that may kill the gateway, without a restart; only in every fourth run.
+const KILL_INDEX: usize = 6;
 
-/// Disconnections, lost bytes, delays and a gateway that is killed for good, by seed.
+/// Runs queries under disconnections, lost bytes, delays and the death of a gateway, all chosen by the seed.
 fn query_through_faults(seed: u64) {
     let config = SitesConfig {
         service_time: Duration::from_millis(10),
@@ -62,8 +63,8 @@
         duration: Duration::from_secs(4),
     };
     let LoadReport { verdict, .. } = query_during_fault(&mut sites, load, |sites| {
-        for turn in 0..FAULT_TURNS {
-            let may_kill = turn == KILL_TURN && seed.is_multiple_of(4);
+        for fault_index in 0..FAULT_COUNT {
+            let may_kill = fault_index == KILL_INDEX && seed.is_multiple_of(4);
             inject_fault(sites, &mut rng, may_kill);
             sleep(random_millis(&mut rng, 50..250));
         }
@@ -75,7 +76,7 @@
     );
 }
 
-/// Injects a random fault, and ends it unless it is a delay or a kill.
+/// Injects a random fault. Ends it again unless it is a delay or a kill.
 fn inject_fault(sites: &mut Sites, rng: &mut Rand64, may_kill: bool) {
     let duration = random_millis(rng, 5..350);
     match rng.rand_range(0..5) {
@@ -98,7 +99,7 @@
     }
 }
 
-/// Drops the bytes of one direction for a while. The stream lacks them then: nothing valid can follow on it.
+/// Drops the bytes of one direction for some time, then disconnects, as nothing valid can follow the gap in the stream.
 fn lose_bytes(sites: &Sites, direction: Direction, duration: Duration) {
     sites.proxy.silence(direction, true);
     sleep(duration);
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn every_query_ends_once_in_time_and_correctly_under_link_faults() {
+fn every_query_completes_once_in_time_and_correctly_under_link_faults() {
     let threads: Vec<_> = (1..=4)
         .map(|seed| spawn(move || query_through_faults(seed)))
         .collect();
@@ -127,7 +128,7 @@
         .for_each(|thread| thread.join().unwrap());
 }
 
-/// Has the gateway's service discovery report another phase of a replica.
+/// Makes the gateway's service discovery report a new phase of a replica.
 fn report_phase(sites: &Sites, revision: u64, replica: usize, phase: &str) {
     let changed = member(replica, sites.replicas[replica], phase);
     let update = membership(revision, false, vec![changed]);
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn a_replica_that_drains_behind_the_link_gets_no_new_requests() {
+fn a_draining_remote_replica_receives_no_new_sub_requests() {
     let config = SitesConfig {
         service_time: Duration::ZERO,
         ..SitesConfig::default()
@@ -147,7 +148,7 @@
     }
     let preferred = if sites.received_by(0) > 0 { 0 } else { 1 };
     assert!(sites.received_by(preferred) > 0);
-    // The local side is notified of the drain over the link.
+    // The gateway notifies the local program of the drain over the link.
     report_phase(&sites, 2, preferred, "leaving");
     sites.local.wait_for_log("replicas behind links");
     let before = sites.received_by(preferred);
@@ -159,7 +160,7 @@
         (received, verdict.succeeded, verdict.violations.len()),
         (before, 40, 0)
     );
-    // The same for its removal and its return.
+    // The local program is also notified of the replica's removal and of its return.
     report_phase(&sites, 3, preferred, "left");
     sites.wait_for_remote_replicas(1);
     report_phase(&sites, 4, preferred, "active");
@@ -172,8 +173,9 @@
     );
 }
 
-/// Queries at least 20 times, and until a replica has received more than `before`; returns how often. Its responses
-/// may have been the slower ones: then sub-requests return to it with the next reset, after 10 s at most.
+/// Sends at least 20 queries, and further ones until a replica has received more than `before` sub-requests, for 15 s at
+/// most; returns the number of queries. If the replica's responses were the slower ones, it gets sub-requests again
+/// only after the co-ordinator's next reset of its observations, within 10 s.
 fn query_until_received(
     sites: &mut Sites,
     verdict: &mut Verdict,
@@ -191,7 +193,7 @@
 }
 
 #[test]
-fn one_of_two_gateways_to_the_same_replicas_may_fail() {
+fn queries_still_succeed_when_one_of_two_gateways_to_the_same_replicas_is_killed() {
     let mut sites = Sites::start(
         EXE,
         SitesConfig {
@@ -199,11 +201,11 @@
             ..SitesConfig::default()
         },
     );
-    let every = Duration::from_millis(10);
+    let interval = Duration::from_millis(10);
     let load = SteadyLoad {
         tag: "two".to_owned(),
         indexes: vec!["order"],
-        interval: every,
+        interval,
         duration: Duration::from_secs(2),
     };
     let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
--- a/crates/linenthread-service/tests/merged/cluster.rs
+++ b/crates/linenthread-service/tests/merged/cluster.rs
@@ -1,4 +1,4 @@
-//! The set-up of the tests: a program with three replicas over one store of rows, each shard on two of them.
+//! The set-up of the tests: a program with three replicas that share one store of rows; each shard is on two of them.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::{EXE, FLOOR, SHARDS, SOFT_DEADLINE};
 
-/// The file of the secret that signs cursors, as the installation file names it.
+/// The file, named in the installation file, with the secret that signs cursors.
 const SECRET_FILE: &str = "marks.key";
 const INSTALLATION_FILE: &str = "installation.xml";
 
@@ -23,24 +23,25 @@
 }
 
 impl Cluster {
-    /// Replicas respond with at most `max_rows` rows, as `cue` says of each sub-request.
+    /// Starts a cluster whose replicas respond with at most `max_rows` rows; `treatment` chooses the delay and behavior
+    /// for each sub-request.
     pub(crate) fn start(
         rows: RowStore,
         max_rows: usize,
-        cue: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
+        treatment: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
     ) -> Cluster {
-        Cluster::start_with(SOFT_DEADLINE, rows, max_rows, INSTALLATION, cue)
+        Cluster::start_with(SOFT_DEADLINE, rows, max_rows, INSTALLATION, treatment)
     }
 
-    /// As [`Cluster::start`], with another soft deadline and installation file.
+    /// As [`Cluster::start`], with the given soft deadline and installation file.
     pub(crate) fn start_with(
         soft_deadline: Duration,
         rows: RowStore,
         max_rows: usize,
         installation: &str,
-        cue: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
+        treatment: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
     ) -> Cluster {
-        let replicas = RowReplicas::start(3, rows, max_rows, cue);
+        let replicas = RowReplicas::start(3, rows, max_rows, treatment);
         let members = replicas
             .addresses
             .iter()
@@ -48,12 +49,16 @@
             .map(|(replica, address)| member(replica, *address, "active"));
         let known = membership(1, true, members.collect());
         let discovery = ServiceDiscovery::start(known.clone());
-        let folder = tempfile::tempdir().unwrap();
-        std::fs::write(folder.path().join(SECRET_FILE), "a secret of some length\n").unwrap();
-        std::fs::write(folder.path().join(INSTALLATION_FILE), installation).unwrap();
+        let directory = tempfile::tempdir().unwrap();
+        std::fs::write(
+            directory.path().join(SECRET_FILE),
+            "a secret of some length\n",
+        )
+        .unwrap();
+        std::fs::write(directory.path().join(INSTALLATION_FILE), installation).unwrap();
         let config = configuration(&discovery, &known, soft_deadline);
         let arguments = ["--installation", INSTALLATION_FILE];
-        let service = Service::start_in(folder, EXE, &config, &arguments);
+        let service = Service::start_in(directory, EXE, &config, &arguments);
         Cluster {
             service,
             replicas,
@@ -64,16 +69,16 @@
 
     /// Starts another program with the same secret, replicas and service discovery.
     pub(crate) fn start_second_program(&self) -> Service {
-        let folder = tempfile::tempdir().unwrap();
+        let directory = tempfile::tempdir().unwrap();
         for file in [SECRET_FILE, INSTALLATION_FILE] {
-            std::fs::copy(self.service.file(file), folder.path().join(file)).unwrap();
+            std::fs::copy(self.service.file(file), directory.path().join(file)).unwrap();
         }
         let config = configuration(&self.discovery, &self.known, SOFT_DEADLINE);
         let arguments = ["--installation", INSTALLATION_FILE];
-        Service::start_in(folder, EXE, &config, &arguments)
+        Service::start_in(directory, EXE, &config, &arguments)
     }
 
-    /// Queries an index on a connection of its own.
+    /// Queries an index on a new connection.
     pub(crate) fn query(
         &self,
         index: &str,
@@ -86,7 +91,7 @@
         client.query_merged(index, id, shards, text, page)
     }
 
-    /// All rows of the replicas by now.
+    /// Returns all current rows of the replicas.
     pub(crate) fn rows(&self) -> RowStore {
         self.replicas.store.lock().unwrap().clone()
     }
@@ -104,7 +109,7 @@
         soft_deadline,
         floor: FLOOR,
     };
-    let once_only = IndexSettings {
+    let non_idempotent = IndexSettings {
         name: "order",
         non_idempotent: true,
         soft_deadline,
@@ -114,7 +119,7 @@
         index("history"),
         index("pledges"),
         index("charities"),
-        once_only,
+        non_idempotent,
     ];
     config_of(discovery.address, known, &indexes, 3, SHARDS)
 }
--- a/crates/linenthread-service/tests/merged/demo.rs
+++ b/crates/linenthread-service/tests/merged/demo.rs
@@ -1,11 +1,12 @@
-//! The demo's output: the same on one site as over a link.
+//! The demo's output, which is the same for one site and for two sites with a link.
 
 use std::process::Command;
 
 use crate::EXE;
 
-/// The demo's output, without what names its addresses or cursors.
-fn lines_shown(sites: &str) -> Vec<String> {
+/// Returns the lines of the demo's output, except those with a cursor and the line that announces two sites: only these
+/// may differ.
+fn comparable_output(sites: &str) -> Vec<String> {
     let output = Command::new(EXE)
         .args(["try", "--show", "--sites", sites])
         .output()
@@ -22,11 +23,14 @@
         10,
         "two pages of five: {text}"
     );
-    let is_of_rows = |line: &&str| !line.contains("\"next\"") && !line.starts_with("Two sites");
-    text.lines().filter(is_of_rows).map(str::to_owned).collect()
+    let is_comparable = |line: &&str| !line.contains("\"next\"") && !line.starts_with("Two sites");
+    text.lines()
+        .filter(is_comparable)
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
-fn the_demo_shows_pages_and_a_partial_total() {
-    assert_eq!(lines_shown("1"), lines_shown("2"));
+fn the_demo_shows_the_same_pages_and_partial_total_with_one_and_two_sites() {
+    assert_eq!(comparable_output("1"), comparable_output("2"));
 }
--- a/crates/linenthread-service/tests/merged/faults.rs
+++ b/crates/linenthread-service/tests/merged/faults.rs
@@ -1,4 +1,4 @@
-//! Merged responses while replicas are slow and faulty, and rows are added.
+//! Merged responses while replicas are slow or faulty and rows are added.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use crate::cluster::Cluster;
 use crate::{FLOOR, SHARDS, weights};
 
-/// The index "history" twice, as its pages are read in chains.
+/// The indexes to choose from. "history" is listed twice, as only its responses have pages.
 const INDEXES: [&str; 4] = ["history", "history", "pledges", "charities"];
-/// The most rows that a page is requested with.
+/// Maximum number of rows that are requested for a page.
 const MAX_LIMIT: usize = 8;
-/// The statuses of a query that was rejected, or has failed.
-const WITHOUT_RESPONSE: [u16; 2] = [502, 503];
+/// The statuses of queries that were rejected or failed.
+const FAILURE_STATUSES: [u16; 2] = [502, 503];
 
-/// A random index of a list.
+/// Returns a random index of a list with `count` elements.
 fn random_index(rng: &mut Rand64, count: usize) -> usize {
     let index = rng.rand_range(0..u64::try_from(count).unwrap());
     usize::try_from(index).unwrap()
 }
 
-/// A fault, or a response after a random delay, which seldom exceeds the time that a query waits.
+/// Chooses for each sub-request a random delay, which rarely exceeds the time that a query waits, and sometimes a fault.
 fn faulty(mut rng: Rand64) -> impl FnMut(&SubRequest) -> Treatment + Send {
     move |_| {
         let behavior = match rng.rand_range(0..100) {
@@ -42,15 +42,17 @@
     }
 }
 
-/// How many queries were sent, had a response, and had one that lacks shards.
 #[derive(Default)]
 struct Counts {
     sent: usize,
+    /// Queries that were neither rejected nor failed.
     answered: usize,
+    /// Answered queries whose response lacks shards.
     partial: usize,
 }
 
-/// A client that queries a cluster with faults and checks every response; rejected and failed queries have none.
+/// A client that queries a cluster with faults and checks every response of queries that are neither rejected nor
+/// failed.
 struct Reader {
     seed: u128,
     rng: Rand64,
@@ -75,13 +77,13 @@
 
     fn read_all(mut self) -> Counts {
         while self.counts.sent < self.max_queries {
-            self.read_chain();
+            self.read_pages();
         }
         self.counts
     }
 
-    /// Reads a chain of pages, with rows added between them, or queries totals or groups once.
-    fn read_chain(&mut self) {
+    /// Reads successive pages and adds rows between them, or, for an index without pages, sends one query.
+    fn read_pages(&mut self) {
         let shards = self.random_shards();
         let index = INDEXES[random_index(&mut self.rng, INDEXES.len())];
         let mut read = PagedRead::new(&weights(&shards));
@@ -105,7 +107,7 @@
         }
     }
 
-    /// About two thirds of the shards, and at least one.
+    /// Returns each shard with a probability of two thirds, and at least one shard.
     fn random_shards(&mut self) -> Vec<usize> {
         let mut shards: Vec<usize> = (0..SHARDS)
             .filter(|_| self.rng.rand_range(0..3) > 0)
@@ -116,7 +118,7 @@
         shards
     }
 
-    /// Sends one query; `None` where it was rejected or has failed.
+    /// Sends one query and returns its response, or `None` if it was rejected or failed.
     fn query(
         &mut self,
         index: &str,
@@ -141,7 +143,7 @@
             return Some(answer);
         }
         assert!(
-            WITHOUT_RESPONSE.contains(&status),
+            FAILURE_STATUSES.contains(&status),
             "seed {}, query {}: {status} {answer}",
             self.seed,
             self.counts.sent
@@ -149,7 +151,7 @@
         None
     }
 
-    /// Checks a response against all rows.
+    /// Checks a response against all rows of the replicas.
     fn check(
         &self,
         index: &str,
--- a/crates/linenthread-service/tests/merged/installation_file.rs
+++ b/crates/linenthread-service/tests/merged/installation_file.rs
@@ -1,4 +1,4 @@
-//! The installation file: validated at the start, and read again while the program runs.
+//! The installation file: validated at startup and reloaded while the program runs.
 
 use std::path::Path;
 use std::process::Command;
@@ -16,7 +16,7 @@
     Cluster::start(rows, 50, respond_at_once)
 }
 
-/// The response to a query of an index that the file of the start has merged.
+/// Returns the response to a query of an index that is merged in the initial installation file.
 fn query_pledges(cluster: &Cluster) -> Value {
     static QUERIES: AtomicUsize = AtomicUsize::new(0);
     let id = format!("f{}", QUERIES.fetch_add(1, Ordering::Relaxed));
@@ -30,7 +30,7 @@
     let cluster = start();
     let service = &cluster.service;
     assert!(query_pledges(&cluster)["totals"].is_object());
-    // An invalid file changes nothing.
+    // An invalid file is rejected, and the previous settings stay in use.
     let file = service.file("installation.xml");
     let invalid = INSTALLATION.replace("index=\"pledges\"", "index=\"gifts\"");
     std::fs::write(&file, invalid).unwrap();
@@ -41,16 +41,16 @@
         "{line}"
     );
     assert!(query_pledges(&cluster)["totals"].is_object());
-    // A valid one applies from the next query on.
+    // A valid file applies from the next query on.
     std::fs::write(&file, "<installation version=\"1\"/>").unwrap();
     service.signal("-HUP");
     service.wait_for_log("installation reloaded");
     let answer = query_pledges(&cluster);
-    assert!(answer["found"].is_array(), "answered as ever");
+    assert!(answer["found"].is_array(), "the index is no longer merged");
 }
 
 #[test]
-fn an_invalid_file_at_the_start_is_one_line_and_exit_code_2() {
+fn an_invalid_file_at_startup_is_reported_in_one_line_with_exit_code_2() {
     let cluster = start();
     let file = cluster.service.file("installation.xml");
     let invalid = "<installation version=\"1\">\n<merge/></installation>";
--- a/crates/linenthread-service/tests/merged/main.rs
+++ b/crates/linenthread-service/tests/merged/main.rs
@@ -1,4 +1,5 @@
-//! Merged indexes through the program on loopback sockets, checked against the full data of the stub replicas.
+//! Queries of merged indexes to the program on loopback sockets. Responses are checked against the full data of the
+//! stub replicas.
 
 mod cluster;
 mod demo;
@@ -18,14 +19,14 @@
 
 const EXE: &str = env!("CARGO_BIN_EXE_linenthread");
 const SHARDS: usize = 6;
-/// A soft deadline for queries that are to lack shards.
+/// The soft deadline of queries whose responses may lack shards.
 const SOFT_DEADLINE: Duration = Duration::from_millis(400);
-/// A soft deadline that no stall of the machine reaches.
-const AMPLE_DEADLINE: Duration = Duration::from_secs(15);
-/// The least share of a response's weight at the indexes that may lack shards.
+/// A soft deadline that is not reached even if the machine stalls.
+const LONG_SOFT_DEADLINE: Duration = Duration::from_secs(15);
+/// The minimum share of the weight that a response needs, at indexes whose responses may lack shards.
 const FLOOR: f64 = 0.5;
 
-/// Equal weights, as the queries have them.
+/// Returns the equal weights that the queries give to the shards.
 fn weights(shards: &[usize]) -> Vec<ShardWeight> {
     let weight = 1.0 / shards.len() as f64;
     shards
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn an_invalid_shard_response_is_named_and_affects_nothing_else() {
+fn an_invalid_shard_response_is_listed_as_unreadable_and_affects_no_other_shard() {
     let unreadable = |sub_request: &SubRequest| {
         let behavior = if sub_request.shard == 2 {
             Behavior::UnreadableValue
@@ -62,7 +63,7 @@
     cluster
         .service
         .wait_for_log("value of a sub-request cannot be merged");
-    // Below the minimum share there is no result.
+    // Below the minimum share, the query fails.
     let status = cluster
         .query("pledges", "u2", &[2], "pledges", &Value::Null)
         .status;
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_once_only_index_gets_no_follow_up_requests() {
+fn a_non_idempotent_index_gets_no_follow_up_requests() {
     let received = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let recorded = received.clone();
     let record = move |sub_request: &SubRequest| {
@@ -79,14 +80,14 @@
     };
     let rows = twelve_rows_on_two_shards();
     let installation = INSTALLATION.replace("index=\"history\"", "index=\"order\"");
-    let cluster = Cluster::start_with(AMPLE_DEADLINE, rows.clone(), 2, &installation, record);
+    let cluster = Cluster::start_with(LONG_SOFT_DEADLINE, rows.clone(), 2, &installation, record);
     let weights = weights(&[0, 1]);
     let MergedResponse {
         status,
         body: answer,
     } = cluster.query("order", "o1", &[0, 1], "all", &json!({"rows": 5}));
     assert_eq!(status, 200, "{answer}");
-    // The page ends where a shard's next row is unknown, and says so.
+    // The page ends where a shard's next row is unknown, and its field "cut" names the shards.
     assert!(
         !answer["cut"]["behind"].as_array().unwrap().is_empty(),
         "{answer}"
@@ -97,13 +98,13 @@
     assert_eq!(received.lock().unwrap().len(), 2);
 }
 
-/// An idempotent index gets follow-up requests, with ids of their own, and the page is full. Responses that take half
-/// of the soft deadline leave no time for them: then the page is cut, and says so.
+/// Follow-up requests have ids of their own. The soft deadline is long, as responses that take half of it would leave no
+/// time for follow-up requests, and the page would be cut.
 #[test]
 fn an_idempotent_index_gets_follow_up_requests_until_the_page_is_full() {
     let rows = twelve_rows_on_two_shards();
     let cluster = Cluster::start_with(
-        AMPLE_DEADLINE,
+        LONG_SOFT_DEADLINE,
         rows.clone(),
         2,
         INSTALLATION,
--- a/crates/linenthread-service/tests/merged/pages.rs
+++ b/crates/linenthread-service/tests/merged/pages.rs
@@ -1,4 +1,5 @@
-//! Pages and their cursors: valid at every process with the secret, and for their own query only.
+//! Pages and their cursors, which are valid at every process with the same secret, but only for the query that they
+//! were issued for.
 
 use linenthread_fakes::checker::PagedRead;
 use linenthread_fakes::row_store::RowStore;
@@ -16,7 +17,7 @@
     Cluster::start(rows, 50, respond_at_once)
 }
 
-/// Queries a page of three rows of the index "history"; a query without a cursor gets the first.
+/// Requests a page of three rows of the index "history"; without a cursor, the first page.
 fn query_page(
     service: &Service,
     id: &str,
@@ -32,7 +33,7 @@
     client.query_merged("history", id, shards, text, &page)
 }
 
-/// The first page, which must be served.
+/// Requests the first page and checks that the query succeeds.
 fn first_page(cluster: &Cluster) -> Value {
     let MergedResponse {
         status,
@@ -65,7 +66,7 @@
     }
 }
 
-/// A cursor that is not valid for its query.
+/// A query with a cursor that is not valid for it, and the expected reason in the response.
 struct InvalidCursor<'a> {
     shards: &'a [usize],
     text: &'a str,
@@ -77,8 +78,8 @@
 fn a_cursor_that_was_not_issued_for_its_query_is_rejected() {
     let cluster = start();
     let cursor = next_cursor(&first_page(&cluster));
-    let other_end = if cursor.ends_with("AA") { "BB" } else { "AA" };
-    let forged = format!("{}{other_end}", &cursor[..cursor.len() - 2]);
+    let forged_end = if cursor.ends_with("AA") { "BB" } else { "AA" };
+    let forged = format!("{}{forged_end}", &cursor[..cursor.len() - 2]);
     let unknown = |cursor| InvalidCursor {
         shards: &QUERIED_SHARDS,
         text: "all",
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn pages_that_an_index_does_not_have_are_rejected() {
+fn page_requests_that_an_index_does_not_support_are_rejected() {
     let cluster = start();
     let too_many_rows = json!({"rows": 101});
     let MergedResponse {
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -1,4 +1,4 @@
-//! `linenthread migrate`: its files, messages and exit codes, and the program with the file that it wrote.
+//! `linenthread migrate`: its files, messages and exit codes, and queries to a program that uses the written file.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -19,15 +19,15 @@
     floor: 1.0,
 };
 
-/// What a run of `linenthread migrate` has printed, and its exit code.
+/// The exit code and the output of a run of `linenthread migrate`.
 struct Migration {
     code: Option<i32>,
     stdout: String,
     stderr: String,
 }
 
-/// Runs the command in a folder.
-fn migrate(folder: &Path, arguments: &[&str]) -> Migration {
+/// Runs the command in a directory.
+fn migrate(directory: &Path, arguments: &[&str]) -> Migration {
     let Output {
         status,
         stdout,
@@ -35,7 +35,7 @@
     } = Command::new(EXE)
         .arg("migrate")
         .args(arguments)
-        .current_dir(folder)
+        .current_dir(directory)
         .output()
         .unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
@@ -46,7 +46,8 @@
     }
 }
 
-/// A ring of four replica groups of one replica each; each of six shards is in two consecutive groups.
+/// Returns a configuration with a ring of four replica groups, each with one replica, and six shards, each in two
+/// consecutive groups.
 fn old_configuration(replicas: &FakeReplicas) -> Value {
     let addresses = replicas.addresses.iter().enumerate();
     let members = addresses.map(|(replica, address)| member(replica, *address, "active"));
@@ -60,36 +61,36 @@
     config
 }
 
-/// A folder with an old configuration as "old.json", for replicas that run.
+/// A directory with an old configuration as "old.json", and its running replicas.
 struct OldInstallation {
     replicas: FakeReplicas,
-    folder: TempDir,
+    directory: TempDir,
     text: String,
 }
 
 impl OldInstallation {
     fn start() -> OldInstallation {
         let replicas = FakeReplicas::start(4);
-        let folder = tempfile::tempdir().unwrap();
+        let directory = tempfile::tempdir().unwrap();
         let text = old_configuration(&replicas).to_string();
-        fs::write(folder.path().join("old.json"), &text).unwrap();
+        fs::write(directory.path().join("old.json"), &text).unwrap();
         OldInstallation {
             replicas,
-            folder,
+            directory,
             text,
         }
     }
 
     fn file(&self, name: &str) -> PathBuf {
-        self.folder.path().join(name)
+        self.directory.path().join(name)
     }
 
     fn migrate(&self, arguments: &[&str]) -> Migration {
-        migrate(self.folder.path(), arguments)
+        migrate(self.directory.path(), arguments)
     }
 
-    /// Writes "new.json" and returns its contents.
-    fn migrated(&self) -> Value {
+    /// Migrates "old.json" to "new.json" and returns the contents of "new.json".
+    fn migrate_to_new(&self) -> Value {
         let migration = self.migrate(&["--output", "new.json", "old.json"]);
         assert_eq!(migration.code, Some(3));
         let text = fs::read_to_string(self.file("new.json")).unwrap();
@@ -97,38 +98,41 @@
     }
 }
 
-/// The lines that say what has to be moved and what was left out.
-fn lists(output: &str) -> Vec<&str> {
+/// Returns the lines that list the shards to move and the omitted settings.
+fn listed_lines(output: &str) -> Vec<&str> {
     let is_listed = |line: &&str| line.starts_with("to move") || line.starts_with("left out");
     output.lines().filter(is_listed).collect()
 }
 
 #[test]
-fn a_dry_run_prints_the_same_and_writes_nothing() {
+fn a_dry_run_prints_the_same_lists_and_writes_nothing() {
     let old = OldInstallation::start();
     let dry_run = old.migrate(&["--dry-run", "old.json"]);
     assert_eq!(
         (
             dry_run.code,
             old.file("new.json").exists(),
-            fs::read_dir(&old.folder).unwrap().count()
+            fs::read_dir(&old.directory).unwrap().count()
         ),
         (Some(3), false, 1),
         "{}",
         dry_run.stdout
     );
     let migration = old.migrate(&["--output", "new.json", "old.json"]);
-    assert_eq!(lists(&migration.stdout), lists(&dry_run.stdout));
+    assert_eq!(
+        listed_lines(&migration.stdout),
+        listed_lines(&dry_run.stdout)
+    );
 }
 
 #[test]
-fn an_old_configuration_is_migrated_with_what_moves_and_what_is_left_out() {
+fn migrating_an_old_configuration_lists_the_shards_to_move_and_the_omitted_settings() {
     let old = OldInstallation::start();
     let migration = old.migrate(&["--output", "new.json", "old.json"]);
     let old_text = fs::read_to_string(old.file("old.json")).unwrap();
     assert_eq!((migration.code, old_text), (Some(3), old.text.clone()));
     let output = &migration.stdout;
-    assert_eq!(lists(output).len(), 5, "{output}");
+    assert_eq!(listed_lines(output).len(), 5, "{output}");
     assert!(
         output.contains("left out: settings: telemetry.names: \"queue\""),
         "{output}"
@@ -149,14 +153,14 @@
     assert_eq!(
         new["settings"]["an-unknown-one"],
         json!({"kept": [1, 2]}),
-        "what is not read is kept"
+        "unknown settings are kept"
     );
 }
 
 #[test]
 fn a_new_configuration_passes_the_check_and_is_not_migrated_again() {
     let old = OldInstallation::start();
-    old.migrated();
+    old.migrate_to_new();
     let mut check = Command::new(EXE);
     check.arg("check").arg(old.file("new.json"));
     assert!(check.status().unwrap().success());
@@ -172,7 +176,7 @@
 #[test]
 fn an_existing_file_is_never_overwritten() {
     let old = OldInstallation::start();
-    old.migrated();
+    old.migrate_to_new();
     for existing in ["new.json", "old.json"] {
         let before = fs::read(old.file(existing)).unwrap();
         let migration = old.migrate(&["--output", existing, "old.json"]);
@@ -187,9 +191,9 @@
 }
 
 #[test]
-fn with_a_new_configuration_sub_requests_go_to_the_replicas_of_the_sets_alone() {
+fn with_a_migrated_configuration_each_shard_is_queried_only_in_its_set() {
     let old = OldInstallation::start();
-    let mut new = old.migrated();
+    let mut new = old.migrate_to_new();
     let discovery = ServiceDiscovery::start(new["known"].to_string());
     new["discovery"] = discovery.address.to_string().into();
     let service = Service::start(EXE, &new);
@@ -203,7 +207,7 @@
 }
 
 #[test]
-fn an_unusable_configuration_is_one_line_and_exit_code_2() {
+fn an_unusable_configuration_is_reported_in_one_line_with_exit_code_2() {
     let old = OldInstallation::start();
     let good: Value = serde_json::from_str(&old.text).unwrap();
     let with = |pointer: &str, value: Value| {
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -1,6 +1,6 @@
-//! Several processes of the program and faults between them: membership, the replicated log, and zones that all leave
-//! and take back together. The scenarios are in `linenthread-fakes`, whose checker reads all responses to clients
-//! and all runs on replicas.
+//! Several processes of the program under faults: membership, the replicated log, and zones that all processes drain
+//! and restore together. The scenarios are in `linenthread-fakes`; its checker verifies the invariants on all responses
+//! to clients and all executions on replicas.
 
 use linenthread_fakes::scenarios;
 
@@ -25,32 +25,32 @@
 }
 
 #[test]
-fn the_leader_is_killed() {
+fn invariants_hold_when_the_leader_is_killed() {
     run_scenario("leader-killed");
 }
 
 #[test]
-fn the_leader_is_stopped_and_resumed() {
+fn invariants_hold_when_the_leader_is_stopped_and_resumed() {
     run_scenario("leader-stopped");
 }
 
 #[test]
-fn a_zone_is_lost_and_recovers() {
+fn invariants_hold_when_a_zone_is_lost_and_recovers() {
     run_scenario("zone-lost");
 }
 
 #[test]
-fn two_zones_are_partitioned_from_each_other() {
+fn invariants_hold_when_two_zones_are_partitioned_from_each_other() {
     run_scenario("pair-cut");
 }
 
 #[test]
-fn a_voter_loses_its_disk() {
+fn invariants_hold_when_a_voter_loses_its_disk() {
     run_scenario("disk-lost");
 }
 
 #[test]
-fn a_voters_disk_is_full() {
+fn invariants_hold_when_a_voters_disk_is_full() {
     run_scenario("disk-full");
 }
 
@@ -60,12 +60,12 @@
 }
 
 #[test]
-fn a_rolling_restart() {
+fn invariants_hold_during_a_rolling_restart() {
     run_scenario("rolling");
 }
 
 #[test]
-fn an_operator_drains_and_restores_a_zone() {
+fn invariants_hold_when_an_operator_drains_and_restores_a_zone() {
     run_scenario("orders");
 }
 
--- a/crates/linenthread-service/tests/replica_indices.rs
+++ b/crates/linenthread-service/tests/replica_indices.rs
@@ -1,10 +1,10 @@
-//! The indices of replicas: when they are assigned, freed and reused.
+//! Assignment, release and reuse of replica indices.
 
 use linenthread_core::interface::ReplicaIndex;
 use linenthread_service::replica_indices::ReplicaIndices;
 
 #[test]
-fn an_index_is_reused_once_nothing_of_its_replica_is_open() {
+fn an_index_is_reused_only_when_its_replica_has_no_open_probe_query_or_connection() {
     let mut indices = ReplicaIndices::default();
     assert_eq!(
         (
@@ -20,7 +20,7 @@
     assert_eq!(
         indices.get_or_assign("c"),
         ReplicaIndex(2),
-        "a probe of it is in flight"
+        "a probe of index 0 is in flight"
     );
     indices.finish_probe(ReplicaIndex(0));
     indices.release_unused(6, |_| true);
@@ -28,7 +28,7 @@
     assert_eq!(
         indices.get_or_assign("d"),
         ReplicaIndex(3),
-        "a query submitted before is open, or a connection"
+        "an earlier query or a connection of index 0 is open"
     );
     indices.release_unused(7, |_| true);
     assert_eq!(
@@ -39,7 +39,7 @@
         ),
         (ReplicaIndex(0), ReplicaIndex(4), ReplicaIndex(1))
     );
-    // However many come and go, no more indices are used than are needed at once.
+    // The number of indices does not grow with the number of replicas that are added and removed over time.
     for n in 0..1_000 {
         let replica = indices.get_or_assign(&format!("n{n}"));
         indices.set_removed(replica, n);
--- a/crates/linenthread-service/tests/service/client_connections.rs
+++ b/crates/linenthread-service/tests/service/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: which are kept, closed for others, or refused.
+//! Client connections: which are kept, and which are closed because they are idle, incomplete or too many.
 
 use std::iter;
 use std::thread;
@@ -13,20 +13,20 @@
     let cluster = Cluster::start(2);
     let start = Instant::now();
     let good = request("find", "p1", &[0]);
-    let begun = [
+    let incomplete_requests = [
         "",
         "POST /find HT",
         good.split_once("\r\n\r\n").unwrap().0,
         &good[..good.len() - 9],
     ];
-    let mut clients: Vec<_> = begun
+    let mut clients: Vec<_> = incomplete_requests
         .iter()
         .map(|text| (cluster.service.connect(), *text))
         .collect();
     clients
         .iter_mut()
         .for_each(|(client, text)| client.send(text));
-    // A connection that has had a response is kept for longer.
+    // A connection that has received a response is kept for longer.
     let mut kept = cluster.query("find", "p2", &[0]);
     cluster.sub_request().respond("v");
     assert_eq!(kept.status(), 200);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn clients_idle_after_one_request_make_room_for_others() {
+fn connections_idle_after_a_request_are_closed_beyond_a_sixth_of_the_limit() {
     let cluster = Cluster::start_with(2, "/limits/sockets", 120.into());
     let mut idle_clients: Vec<_> = (0..30)
         .map(|id| {
@@ -54,7 +54,7 @@
             client
         })
         .collect();
-    // A sixth of all connections may stay, those used last.
+    // A sixth of the limit, 20, is kept: the most recently used connections.
     assert!(
         idle_clients
             .drain(..10)
@@ -76,7 +76,7 @@
         client.send(&good[..good.len() - 1 - 100 * (n % 2)]);
         client
     };
-    // One fewer than the limit, and for longer than a valid request takes.
+    // One connection fewer than the limit, for longer than a valid request takes.
     let mut incomplete_clients: Vec<_> = (0..23).map(connect_incompletely).collect();
     thread::sleep(Duration::from_millis(300));
     let mut client = cluster.service.connect();
@@ -84,7 +84,7 @@
         incomplete_clients[0]
             .response()
             .is_none_or(|response| response.status == 400),
-        "the oldest gives way"
+        "the oldest connection is closed to admit the new one"
     );
     client.query("find", "v2", &[0]);
     cluster.sub_request().respond("v");
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn bytes_after_a_request_do_not_cost_it_its_response() {
+fn extra_bytes_after_a_request_do_not_prevent_its_response() {
     let cluster = Cluster::start(2);
     for next in [
         "nonsense\r\n\r\n".to_owned(),
         request("find", "q2", &[9]).repeat(300),
     ] {
-        // In the same write, and while the request waits.
+        // The extra bytes are sent in the same write as the request, then while a request waits for its response.
         let mut client = cluster.service.connect();
         client.send(&format!("{}{next}", request("order", "q0", &[0])));
         cluster.sub_request().respond("v");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn clients_are_served_beside_more_connections_than_the_limit() {
+fn new_clients_are_served_when_idle_connections_exceed_the_limit() {
     let cluster = Cluster::start_with(2, "/limits/sockets", 64.into());
     let mut idle: Vec<_> = (0..80).map(|_| cluster.service.connect()).collect();
     let mut client = cluster.query("find", "i1", &[0]);
@@ -131,6 +131,6 @@
     assert_eq!(client.status(), 200);
     assert!(
         idle[0].response().is_none(),
-        "the one idle for longest was closed"
+        "the connection idle for longest was closed"
     );
 }
--- a/crates/linenthread-service/tests/service/cluster.rs
+++ b/crates/linenthread-service/tests/service/cluster.rs
@@ -1,4 +1,4 @@
-//! The set-up of most tests: a program with replicas and service discovery of its own.
+//! The set-up of most tests: a program with its own replicas and service discovery.
 
 use linenthread_fakes::{
     Client, FakeReplicas, Service, ServiceDiscovery, SubRequest, config, member, membership,
@@ -7,7 +7,7 @@
 
 use crate::EXE;
 
-/// A program with its own replicas, all ready.
+/// A program with its own service discovery and replicas, all of which are ready.
 pub(crate) struct Cluster {
     pub(crate) service: Service,
     pub(crate) discovery: ServiceDiscovery,
@@ -19,7 +19,7 @@
         Cluster::start_with(replicas, "/name", "n0".into())
     }
 
-    /// As [`Cluster::start`], with one value of the configuration changed, which a JSON pointer names.
+    /// As [`Cluster::start`], with the value at a JSON pointer of the configuration replaced.
     pub(crate) fn start_with(replicas: usize, pointer: &str, value: Value) -> Cluster {
         let replicas = FakeReplicas::start(replicas);
         let members = replicas
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Sends a query on a connection of its own.
+    /// Sends a query on a new connection.
     pub(crate) fn query(&self, index: &str, id: &str, shards: &[usize]) -> Client {
         self.service.query(index, id, shards)
     }
 
-    /// The next sub-request that a replica receives.
+    /// Waits for the next sub-request that a replica receives.
     pub(crate) fn sub_request(&self) -> SubRequest {
         self.replicas.sub_request()
     }
--- a/crates/linenthread-service/tests/service/configuration.rs
+++ b/crates/linenthread-service/tests/service/configuration.rs
@@ -1,4 +1,4 @@
-//! Service discovery and the configuration file, at the start and while the program runs.
+//! Service discovery and the configuration file, at startup and while the program runs.
 
 use std::net::TcpListener;
 use std::process::Command;
@@ -12,7 +12,7 @@
 use crate::cluster::Cluster;
 
 #[test]
-fn a_watched_drain_is_followed_and_invalid_discovery_updates_are_not() {
+fn a_drain_in_service_discovery_is_applied_and_invalid_updates_are_ignored() {
     let cluster = Cluster::start(2);
     cluster.discovery.answer_watch(&membership(
         2,
@@ -30,7 +30,7 @@
         let mut client = cluster.query("find", &format!("f{id}"), &[0, 1, 2, 3]);
         for _ in 0..4 {
             let sub_request = cluster.sub_request();
-            assert_eq!(sub_request.replica, 1, "none goes to the one that drains");
+            assert_eq!(sub_request.replica, 1, "the draining replica gets none");
             sub_request.respond("v");
         }
         assert_eq!(client.status(), 200);
@@ -62,7 +62,7 @@
             ],
         )
     };
-    // The new service discovery starts at a lower revision.
+    // The new service discovery starts with a lower revision.
     let (old, new) = (
         ServiceDiscovery::start(known(9, "active")),
         ServiceDiscovery::start(known(2, "leaving")),
@@ -86,12 +86,15 @@
             .contains(r#"at_next_start="limits.sockets""#)
     );
     service.wait_for_log("revision=2");
-    assert!(old.watch_is_closed(), "the watch at the old one is ended");
+    assert!(
+        old.watch_is_closed(),
+        "the watch at the old address is closed"
+    );
     for id in 0..4 {
         let mut client = service.query("find", &format!("n2{id}"), &[0, 1]);
         for _ in 0..2 {
             let sub_request = replicas.sub_request();
-            assert_eq!(sub_request.replica, 1, "what the new one says counts");
+            assert_eq!(sub_request.replica, 1, "the new address's list is used");
             sub_request.respond("v");
         }
         assert_eq!(client.status(), 200);
@@ -149,7 +152,7 @@
 }
 
 #[test]
-fn a_missing_configuration_is_reported_with_the_name_of_its_variable() {
+fn a_missing_configuration_is_reported_with_the_name_of_its_environment_variable() {
     let output = Command::new(EXE)
         .arg("serve")
         .env_remove("EDGE_CONFIG")
--- a/crates/linenthread-service/tests/service/main.rs
+++ b/crates/linenthread-service/tests/service/main.rs
@@ -1,4 +1,4 @@
-//! The program on loopback sockets, against stub replicas and stub service discovery.
+//! Tests of the program on loopback sockets, with stub replicas and stub service discovery.
 
 mod client_connections;
 mod cluster;
--- a/crates/linenthread-service/tests/service/queries.rs
+++ b/crates/linenthread-service/tests/service/queries.rs
@@ -1,4 +1,4 @@
-//! Queries through the program: their responses, retries, time-outs and cancellations.
+//! Queries to the program: their responses, retries, time-outs and cancellations.
 
 use linenthread_fakes::{
     ClientResponse, FakeReplicas, Service, ServiceDiscovery, config, member, membership, request,
@@ -24,7 +24,7 @@
             .parse()
             .unwrap();
         assert!((10_000..=15_000).contains(&wait), "waits {wait} ms");
-        // The load report is malformed, the response is not.
+        // The load report is malformed, but the response is valid.
         sub_request.send_frame(
             b'E',
             &format!(
@@ -32,7 +32,7 @@
                 sub_request.id, sub_request.shard
             ),
         );
-        sub_request.respond("a second copy, taken for nothing");
+        sub_request.respond("a second response, which is ignored");
     }
     let ClientResponse { status, body, .. } = client.response().unwrap();
     let text = r#"{"finished":true,"found":[{"bucket":0,"item":"value of 0"},{"bucket":3,"item":"value of 3"}]}"#;
@@ -63,23 +63,23 @@
     assert_eq!(client.status(), 200);
     let mut client = cluster.query("order", "a2", &[2]);
     cluster.sub_request().disconnect();
-    assert_eq!(client.status(), 502, "given up with no promise");
+    assert_eq!(client.status(), 502, "the sub-request may have run");
     assert_eq!(
         cluster.replicas.remaining(),
         [""; 0],
-        "nothing of it is sent again"
+        "it is not sent again"
     );
 }
 
 #[test]
-fn a_once_only_sub_request_that_was_not_sent_goes_to_another_replica() {
+fn an_unsent_non_idempotent_sub_request_is_retried_on_another_replica() {
     let replicas = FakeReplicas::start(1);
-    let nobody = "127.0.0.9:1".parse().unwrap();
+    let unreachable = "127.0.0.9:1".parse().unwrap();
     let known = membership(
         1,
         true,
         vec![
-            member(0, nobody, "active"),
+            member(0, unreachable, "active"),
             member(1, replicas.addresses[0], "active"),
         ],
     );
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_time_out_ends_a_query_and_cancels_its_sub_requests() {
+fn a_timed_out_query_fails_and_its_sub_requests_are_cancelled() {
     let cluster = Cluster::start(1);
     let mut client = cluster.query("swift", "d1", &[1]);
     let sub_request = cluster.sub_request();
@@ -133,7 +133,7 @@
     assert_eq!(cluster.replicas.cancelled(), "e1.1");
     let mut client = cluster.query("find", "e2", &[1]);
     let sub_request = cluster.sub_request();
-    assert_eq!(sub_request.id, "e2.1", "nothing of the first is sent again");
+    assert_eq!(sub_request.id, "e2.1", "e1.1 is not sent again");
     sub_request.respond("v");
     assert_eq!(client.status(), 200);
 }
@@ -174,31 +174,31 @@
     );
     assert!(
         idle.response().is_none() && kept.response().is_none() && late.response().is_none(),
-        "idle ones end"
+        "idle connections are closed"
     );
     sub_request.respond("v");
     assert_eq!(waiting.status(), 200);
     assert!(
         incomplete.response().is_none(),
-        "half a request holds up nothing"
+        "an incomplete request does not delay the shutdown"
     );
     cluster.service.wait_for_log("shutdown complete");
     assert_eq!(cluster.service.child.wait().unwrap().code(), Some(0));
 }
 
-/// A request that is refused, and the status that it gets.
+/// A request that is rejected, and the expected status.
 struct BadRequest {
     status: u16,
     text: String,
 }
 
-/// Variants of a good request to the index "find" for the shards 0 and 1.
+/// Returns invalid variants of a valid request to the index "find" for the shards 0 and 1.
 fn bad_requests(good: &str) -> Vec<BadRequest> {
     let replaced = |status, from: &str, to: &str| BadRequest {
         status,
         text: good.replace(from, to),
     };
-    // With the body's new length.
+    // Replaces a part of the body and adjusts `Content-Length`.
     let with_body_part = |from: &str, to: &str| {
         let length = |bytes: usize| format!("Content-Length: {bytes}\r\n");
         let old_length = good.split_once("\r\n\r\n").unwrap().1.len();
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn bad_requests_reach_no_replica() {
+fn bad_requests_are_rejected_and_reach_no_replica() {
     let cluster = Cluster::start(2);
     for BadRequest { status, text } in bad_requests(&request("find", "h1", &[0, 1])) {
         let mut client = cluster.service.connect();
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn an_id_is_rejected_while_its_query_is_open_and_free_again_afterwards() {
+fn a_query_id_can_be_reused_only_after_its_query_has_completed() {
     let cluster = Cluster::start(2);
     let mut open = cluster.query("find", "h3", &[0]);
     assert_eq!(cluster.query("find", "h3", &[0]).status(), 409);
--- a/crates/linenthread-service/tests/service/replica_connections.rs
+++ b/crates/linenthread-service/tests/service/replica_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas: which are used, and what becomes of those that break.
+//! Connections to replicas: how sub-requests share them, and when they are closed.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -10,14 +10,14 @@
 use crate::cluster::Cluster;
 
 #[test]
-fn a_connection_closed_during_a_write_does_not_fail_a_once_only_sub_request() {
+fn a_connection_closed_on_reuse_does_not_fail_a_non_idempotent_sub_request() {
     let cluster = Cluster::start(2);
     for id in 0..6 {
         let mut client = cluster.query("order", &format!("r{id}"), &[0]);
         cluster.sub_request().respond("v");
         assert_eq!(client.status(), 200);
         cluster.replicas.closing_on_reuse.store(1, Ordering::SeqCst);
-        // Idle for a while.
+        // Leave the connection idle for some time.
         thread::sleep(Duration::from_millis(80));
     }
     assert_eq!(cluster.replicas.remaining(), [""; 0]);
@@ -41,7 +41,7 @@
         again.respond("v");
         assert_eq!(client.status(), 200, "after {rest:?}");
         cluster.service.wait_for_log("replica connection ended");
-        // Later bytes on it are ignored, and the sub-request may have run.
+        // Later bytes on the connection are ignored. A non-idempotent sub-request fails, as it may have run.
         broken.send_bytes(b"\0\0\0\x0fEb1.2 hit 1 -\nv");
         let mut client = cluster.query("order", "b2", &[2]);
         cluster.sub_request().send_frame(letter, rest);
@@ -63,7 +63,7 @@
     cluster
         .service
         .wait_for_log("a frame is not complete in time");
-    // The same with bytes that trickle in.
+    // The same if the bytes of the frame arrive slowly.
     let mut client = cluster.query("find", "o2", &[2]);
     let slow = cluster.sub_request();
     let again = thread::scope(|threads| {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn surplus_bytes_after_a_response_close_the_connection_and_the_response_counts() {
+fn surplus_bytes_after_a_response_close_the_connection_but_the_response_is_used() {
     let cluster = Cluster::start(1);
     let mut client = cluster.query("find", "o3", &[2]);
     let sub_request = cluster.sub_request();
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn connections_are_shared_once_there_are_several_and_filled_up_to_a_limit() {
-    // One sub-request for each connection first, then as many as each may carry, then more connections again.
+fn sub_requests_share_connections_up_to_the_stream_limit() {
+    // Each of the first connections gets one sub-request, then all are filled up to the limit, then more are opened.
     let cluster = Cluster::start_with(1, "/settings/allowed/streams-per-conn", 2.into());
     let mut clients: Vec<_> = ["l1", "l4", "l5"]
         .map(|id| cluster.query("find", id, &[0, 1, 2]))
@@ -114,13 +114,13 @@
     let cluster = Cluster::start(1);
     let mut client = cluster.query("order", "l6", &[0, 1]);
     let (one, other) = (cluster.sub_request(), cluster.sub_request());
-    let mut beside = cluster.query("order", "l7", &[0]);
+    let mut unaffected = cluster.query("order", "l7", &[0]);
     let sub_request = cluster.sub_request();
     one.send_frame(b'Z', "?");
     assert_eq!(client.status(), 502);
     assert_eq!(cluster.replicas.cancelled(), other.id);
     sub_request.respond("v");
-    assert_eq!(beside.status(), 200);
+    assert_eq!(unaffected.status(), 200);
 }
 
 #[test]
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn sub_requests_to_one_replica_share_a_call() {
+fn sub_requests_to_one_replica_are_batched_into_calls() {
     let cluster = Cluster::start_with(1, "/settings/family-info/parts-a-call", 2.into());
     let mut client = cluster.query("find", "m1", &[0, 1, 2]);
     let mut sub_requests = [
--- a/crates/linenthread-service/tests/transports.rs
+++ b/crates/linenthread-service/tests/transports.rs
@@ -1,4 +1,4 @@
-//! The outcomes of attempts on a connection that breaks.
+//! The outcomes of attempts on a connection that is closed or receives invalid data.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,44 +12,44 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// The one replica.
 const REPLICA: ReplicaIndex = ReplicaIndex(0);
-/// Attempts at the replica, all on one connection.
+/// The number of attempts, all on one connection to the replica.
 const ATTEMPTS: usize = 500;
-/// Bytes of each attempt: together more than any socket's buffers hold.
+/// The length of each attempt's text: together, the attempts exceed any socket buffer.
 const TEXT_BYTES: usize = 60_000;
 
-/// How a replica breaks the connection amid the attempts.
-struct Break {
-    /// What it sends; the connection is closed where it sends nothing.
+/// A fault of the connection while attempts are being written, and the expected outcomes.
+struct ConnectionFault {
+    /// Invalid data that the replica sends. If empty, the replica closes the connection.
     sent: &'static [u8],
-    /// The outcome of attempts that were written completely.
+    /// The expected outcome of attempts that were written completely.
     written: AttemptOutcome,
-    /// The outcome of all others.
+    /// The expected outcome of all other attempts.
     unwritten: AttemptOutcome,
 }
 
-/// What was written completely when a connection broke, or violated the protocol, may have run; the rest never did.
+/// When a connection is closed or violates the protocol, attempts that were written completely may have run on the
+/// replica; all others have not.
 #[test]
-fn attempts_end_by_whether_their_last_byte_was_written() {
-    let breaks = [
-        // A response to what was never sent completely is a violation.
-        Break {
+fn the_outcome_of_an_attempt_depends_on_whether_its_last_byte_was_written() {
+    let faults = [
+        // A response to an attempt that was not sent completely violates the protocol.
+        ConnectionFault {
             sent: b"\0\0\0\x10El.499 hit 1 -\nv",
             written: AttemptOutcome::Error,
             unwritten: AttemptOutcome::NotSent,
         },
-        Break {
+        ConnectionFault {
             sent: b"",
             written: AttemptOutcome::ConnectionLost,
             unwritten: AttemptOutcome::ConnectFailed,
         },
     ];
-    for Break {
+    for ConnectionFault {
         sent,
         written,
         unwritten,
-    } in breaks
+    } in faults
     {
         let outcomes = actix_rt::System::new().block_on(outcomes_after(sent));
         assert_eq!(
@@ -61,8 +61,8 @@
     }
 }
 
-/// The outcomes of the attempts, by sub-request, after the replica has read somewhat more than one and has broken the
-/// connection.
+/// Returns the outcomes of the attempts, by sub-request. The replica reads somewhat more than one attempt, then sends
+/// `sent` or, if that is empty, closes the connection.
 async fn outcomes_after(sent: &[u8]) -> Vec<Option<AttemptOutcome>> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let transports = Transports::new(one_connection());
@@ -79,18 +79,18 @@
     let read_bytes = TEXT_BYTES + 1_000;
     replica.read_exact(&mut vec![0; read_bytes]).await.unwrap();
     replica.write_all(sent).await.unwrap();
-    let open = (!sent.is_empty()).then_some(replica);
+    let open_connection = (!sent.is_empty()).then_some(replica);
     let mut outcomes = vec![None; ATTEMPTS];
     for _ in 0..ATTEMPTS {
         let FinishedAttempt { key, outcome, .. } = finished_attempts.recv().await.unwrap();
         let earlier = outcomes[key.sub_request.0].replace(outcome);
-        assert_eq!(earlier, None, "each ends once");
+        assert_eq!(earlier, None, "each attempt ends once");
     }
-    drop((in_flight, open));
+    drop((in_flight, open_connection));
     outcomes
 }
 
-/// One connection for all attempts, and time-outs that none of them meets.
+/// Returns a configuration with a single connection for all attempts, and time-outs that are not reached.
 fn one_connection() -> ConnectionConfig {
     let long = Duration::from_secs(20);
     ConnectionConfig {
