--- a/crates/linenthread-service/src/cli.rs
+++ b/crates/linenthread-service/src/cli.rs
@@ -94,7 +94,7 @@
         .to_options()
         .descr(
             "Validates the configuration and the installation file that serve would read; if one is invalid, prints \
-             one line with the file, the line and the reason, and exits with 2",
+             one line with the file, the place in it and the reason, and exits with 2",
         )
         .footer("Example: linenthread check config.json --installation deploy/installation.xml")
         .command("check")
@@ -141,7 +141,7 @@
         .argument("S")
         .fallback(5);
     let sites = long("sites")
-        .help("1, or 2: all replicas behind a gateway, over a link")
+        .help("1, or 2 to reach all replicas over a link through a gateway")
         .argument::<u8>("N")
         .guard(|n| (1..=2).contains(n), "there are 1 or 2 sites")
         .fallback(1);
--- a/crates/linenthread-service/src/demo/zones.rs
+++ b/crates/linenthread-service/src/demo/zones.rs
@@ -114,7 +114,7 @@
     let zones = ZonePair { from: 0, to: lost };
     rig.wait_for_route(0, from, zones, Route::is_healthy);
     println!(
-        "After {:.1} s it was taken back, step by step.",
+        "After {:.1} s all traffic to it was restored, in steps.",
         began.elapsed().as_secs_f64()
     );
     rig.wait_until_serving(&[0, 1, 2], 20);
--- a/crates/linenthread-service/src/log.rs
+++ b/crates/linenthread-service/src/log.rs
@@ -28,9 +28,9 @@
 
 /// Limits the rate of one kind of log line.
 pub(crate) struct LogRateLimit {
-    /// Start of the current second.
+    /// Start of the current period of one second.
     since: Cell<Instant>,
-    /// Lines in the current second, written or suppressed.
+    /// Lines in the current period, written or suppressed.
     lines: Cell<u32>,
 }
 
@@ -44,8 +44,8 @@
 }
 
 impl LogRateLimit {
-    /// Counts a line; if it may be written, returns the number of lines that were suppressed in the previous period and
-    /// not reported yet. Returns `None` if the line must be suppressed.
+    /// Counts a line. Returns `None` if it must be suppressed. If it may be written, returns the number of lines that
+    /// were suppressed in the last period, which only the first line of a new period reports.
     pub(crate) fn admit(&self) -> Option<u32> {
         let mut suppressed = 0;
         if self.since.get().elapsed() >= Duration::from_secs(1) {
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -53,7 +53,7 @@
     new: Value,
     /// For each replica, the shards that it must load before the new file can be used, and those that it may drop
     /// afterwards.
-    moves: Vec<String>,
+    shard_moves: Vec<String>,
     /// The settings that have no equivalent in the new form.
     omitted: Vec<String>,
 }
@@ -76,37 +76,37 @@
             replication_factor
         }
     );
-    let sets = ShardLayout {
+    let new_layout = ShardLayout {
         replica_groups: groups / replication_factor,
         replication_factor: 1,
     };
     let mut new: Value = serde_json::from_slice(text).context(ParseSnafu)?;
     let omitted = remove_load_reports(&mut new);
     let layout_settings = &mut new["settings"]["family-info"];
-    layout_settings["cells"] = json!(sets.replica_groups);
-    layout_settings["in-a-row"] = json!(sets.replication_factor);
+    layout_settings["cells"] = json!(new_layout.replica_groups);
+    layout_settings["in-a-row"] = json!(new_layout.replication_factor);
     let members = new["known"]["members"].as_array_mut().into_iter().flatten();
-    let mut moves = Vec::new();
+    let mut shard_moves = Vec::new();
     for (replica, member) in old.cached_membership.replicas.iter().zip(members) {
         let set = replica.replica_group / replication_factor;
         member["cell"] = json!(set);
         let held_before = |shard| layout.holds(replica.replica_group, shard);
-        let held_after = |shard| sets.holds(set, shard);
-        let all = || 0..old.cluster.shard_count;
-        let loads = all().filter(|&shard| held_after(shard) && !held_before(shard));
-        let drops = all().filter(|&shard| held_before(shard) && !held_after(shard));
-        moves.push(format!(
+        let held_after = |shard| new_layout.holds(set, shard);
+        let all_shards = || 0..old.cluster.shard_count;
+        let shards_to_load = all_shards().filter(|&shard| held_after(shard) && !held_before(shard));
+        let shards_to_drop = all_shards().filter(|&shard| held_before(shard) && !held_after(shard));
+        shard_moves.push(format!(
             "{}: set {set}; loads [{}], may then drop [{}]",
             replica.id,
-            join_shards(loads),
-            join_shards(drops)
+            join_shards(shards_to_load),
+            join_shards(shards_to_drop)
         ));
     }
     let written = serde_json::to_vec(&new).context(SerializeSnafu)?;
     Config::parse(&written).context(NewSnafu)?;
     Ok(Some(Converted {
         new,
-        moves,
+        shard_moves,
         omitted,
     }))
 }
@@ -182,7 +182,7 @@
         }
         _ => println!("nothing is written; it would be:\n{:#}", converted.new),
     }
-    for line in &converted.moves {
+    for line in &converted.shard_moves {
         println!("to move: {line}");
     }
     for line in &converted.omitted {
--- a/crates/linenthread-service/src/service_discovery.rs
+++ b/crates/linenthread-service/src/service_discovery.rs
@@ -15,7 +15,7 @@
 /// that it permits: it responds to an open watch as soon as there is an update, and a watch that ends costs a new
 /// request.
 const WATCH_TIMEOUT_MS: u64 = 60_000;
-/// Time after which a request fails: for a watch, counted from the end of [`WATCH_TIMEOUT_MS`].
+/// Time limit for a response. A watch request has this time in addition to [`WATCH_TIMEOUT_MS`].
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The reason why the list could not be fetched, as written to the log.
--- a/crates/linenthread-service/src/zone_routing.rs
+++ b/crates/linenthread-service/src/zone_routing.rs
@@ -22,7 +22,7 @@
 /// Distance of a zone that is not in the installation file: greater than that of any configured zone.
 const UNCONFIGURED_ZONE: u8 = 3;
 
-/// A zone that the driver has numbered.
+/// A zone in the coordinator driver's numbering.
 struct NamedZone {
     name: String,
     /// The zone's position in the installation file, or `None` if it is not in the file.
@@ -178,8 +178,8 @@
         let mut replicas = vec![0; zone_count];
         // Ready replicas by replica group, then by zone.
         let mut by_group = vec![vec![0_u16; zone_count]; self.layout.replica_groups];
-        let ready = |entry: &&MembershipEntry| entry.phase == Phase::Ready;
-        for entry in self.listed.values().filter(ready) {
+        let is_ready = |entry: &&MembershipEntry| entry.phase == Phase::Ready;
+        for entry in self.listed.values().filter(is_ready) {
             let Some(zone) = self.zone(entry.replica) else {
                 continue;
             };
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -201,11 +201,11 @@
             ..SitesConfig::default()
         },
     );
-    let interval = Duration::from_millis(10);
+    let request_interval = Duration::from_millis(10);
     let load = SteadyLoad {
         tag: "two".to_owned(),
         indexes: vec!["order"],
-        interval,
+        interval: request_interval,
         duration: Duration::from_secs(2),
     };
     let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
