--- a/crates/linenthread-service/src/demo/error.rs
+++ b/crates/linenthread-service/src/demo/error.rs
@@ -1,4 +1,4 @@
-//! Why the demo could not start or has failed.
+//! Errors of the demo.
 
 use std::io;
 use std::path::PathBuf;
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -102,7 +102,7 @@
     }
 
     /// As a follower, reports this member's observations to the leader. As the leader, applies pending orders and
-    /// proposes a routing table, if a decision is due.
+    /// proposes a routing table, if a decision is due. Does nothing if no zones are configured.
     pub(super) fn decide_on_zones(&self) {
         let now = self.0.clock.now();
         let Some(zones) = &self.0.config.zones else {
--- a/crates/linenthread-service/src/serve/descriptors.rs
+++ b/crates/linenthread-service/src/serve/descriptors.rs
@@ -23,8 +23,8 @@
     config.sockets / 6
 }
 
-/// Returns the number of descriptors reserved for replicas: a quarter of all descriptors, or two for each cached
-/// replica if that is more, but at most half of all. The quarter leaves room for replicas that are discovered later.
+/// Returns the number of descriptors reserved for connections to replicas: a quarter of all descriptors, or two for
+/// each cached replica if that is more. At most half of all are reserved, as more replicas may be discovered later.
 pub(super) fn replica_descriptors(config: &Config) -> usize {
     (config.sockets / 4)
         .max(config.cached_membership.replicas.len() * 2)
--- a/crates/linenthread-service/src/zones_command/follower.rs
+++ b/crates/linenthread-service/src/zones_command/follower.rs
@@ -1,5 +1,5 @@
-//! Reads the committed values of the fleet's log in the same way as a member that is not a voter: over one connection at
-//! a time. Uses blocking sockets.
+//! Reads the committed values of the fleet's log in the same way as a member that is not a voter: over one connection
+//! at a time. Uses blocking sockets.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -30,7 +30,7 @@
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Reading of the command's clock at its start, so that 0 is in the past.
 const EPOCH: TenthMillis = 1_000_000;
-/// Gossip probe interval, longer than the command runs: it takes no part in gossip.
+/// Gossip probe interval. It is long because the command takes no part in gossip.
 const PROBE_INTERVAL: TenthMillis = 60_000;
 
 /// A connection to a voter, and its number in the state machine.
