--- a/crates/linenthread-service/src/replica_indices.rs
+++ b/crates/linenthread-service/src/replica_indices.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Frees the indices of removed replicas that are no longer in use; indices are freed nowhere else. All of the first
-    /// `completed` submitted queries have ended; `is_vacant` reports whether a replica has neither a route nor a
+    /// Frees the indices of removed replicas that are no longer in use; indices are freed nowhere else. All of the
+    /// first `completed` submitted queries have ended; `is_vacant` reports whether a replica has neither a route nor a
     /// connection.
     pub fn release_unused(&mut self, completed: u64, is_vacant: impl Fn(ReplicaIndex) -> bool) {
         for (index, entry) in self.slots.iter_mut().enumerate() {
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -173,8 +173,8 @@
     );
 }
 
-/// Sends at least 20 queries, and further ones until a replica has received more than `before` sub-requests, for 15 s at
-/// most; returns the number of queries. If the replica's responses were the slower ones, it gets sub-requests again
+/// Sends at least 20 queries, and further ones until a replica has received more than `before` sub-requests, for 15 s
+/// at most; returns the number of queries. If the replica's responses were the slower ones, it gets sub-requests again
 /// only after the co-ordinator's next reset of its observations, within 10 s.
 fn query_until_received(
     sites: &mut Sites,
--- a/crates/linenthread-service/tests/merged/faults.rs
+++ b/crates/linenthread-service/tests/merged/faults.rs
@@ -24,7 +24,8 @@
     usize::try_from(index).unwrap()
 }
 
-/// Chooses for each sub-request a random delay, which rarely exceeds the time that a query waits, and sometimes a fault.
+/// Chooses for each sub-request a random delay, which rarely exceeds the time that a query waits, and sometimes a
+/// fault.
 fn faulty(mut rng: Rand64) -> impl FnMut(&SubRequest) -> Treatment + Send {
     move |_| {
         let behavior = match rng.rand_range(0..100) {
--- a/crates/linenthread-service/tests/merged/main.rs
+++ b/crates/linenthread-service/tests/merged/main.rs
@@ -98,8 +98,8 @@
     assert_eq!(received.lock().unwrap().len(), 2);
 }
 
-/// Follow-up requests have ids of their own. The soft deadline is long, as responses that take half of it would leave no
-/// time for follow-up requests, and the page would be cut.
+/// Follow-up requests have ids of their own. The soft deadline is long, as responses that take half of it would leave
+/// no time for follow-up requests, and the page would be cut.
 #[test]
 fn an_idempotent_index_gets_follow_up_requests_until_the_page_is_full() {
     let rows = twelve_rows_on_two_shards();
