--- a/crates/linenthread-store/src/directory.rs
+++ b/crates/linenthread-store/src/directory.rs
@@ -1,4 +1,4 @@
-//! A directory of the file system.
+//! [`Files`] in a directory of the file system.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write};
@@ -8,23 +8,23 @@
 
 use crate::Files;
 
-/// Name of the file whose lock the owner of a directory holds.
+/// The file that the process using a directory keeps locked.
 const LOCK_FILE: &str = "lock";
 
 /// Why a directory can't be used.
 #[derive(Debug, Snafu)]
 pub enum DirectoryError {
-    /// It can't be created, read or written.
+    /// The directory can't be created, or its lock file can't be used.
     #[snafu(display("{}: {step}: {source}", path.display()))]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// The directory.
         path: PathBuf,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Another process uses it.
+    /// Another process has locked the directory.
     #[snafu(display("{}: another process uses this directory", path.display()))]
     Locked {
         /// The directory.
@@ -32,29 +32,28 @@
     },
 }
 
-/// A file that is open for appending.
 #[derive(Debug)]
 struct OpenFile {
     name: String,
     file: File,
 }
 
-/// A directory on the disk, used by one process at a time.
+/// A directory on the disk, locked so that one process at a time uses it.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
-    /// Held as long as the directory is used.
+    /// Locked until this is dropped.
     _lock: File,
-    /// The file that was last appended to.
+    /// The file that was last appended to or synced.
     open_file: Option<OpenFile>,
 }
 
 impl Directory {
-    /// Locks a directory, which is created if there is none.
+    /// Locks a directory, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// It can't be created, read or written, or another process has locked it.
+    /// The directory can't be created, its lock file can't be used, or another process has locked it.
     pub fn open(path: &Path) -> Result<Directory, DirectoryError> {
         let failed = |step| IoSnafu { step, path };
         std::fs::create_dir_all(path).context(failed("creating it"))?;
@@ -71,7 +70,7 @@
                 return Err(error).context(failed("locking it"));
             }
         }
-        // The directory's own name has to be durable as well.
+        // The directory's own entry in its parent has to be durable as well.
         let parent = path
             .parent()
             .filter(|parent| !parent.as_os_str().is_empty());
@@ -87,7 +86,7 @@
         })
     }
 
-    /// The file of a name, open for appending.
+    /// Returns a file that is open for appending; opens it, and creates it, if needed.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         let is_open = self
             .open_file
--- a/crates/linenthread-store/src/error.rs
+++ b/crates/linenthread-store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a log can't be opened, or accepts nothing more.
+//! Errors of a log.
 
 use std::io;
 
@@ -6,45 +6,45 @@
 
 use crate::format::{MAX_RECORD_BYTES, VERSION};
 
-/// Why a log can't be opened, or accepts nothing more.
+/// Why a log can't be opened, or rejects a record or a sync.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LogError {
-    /// What was synced once is not readable any more.
+    /// Bytes that had been synced are not readable any more.
     #[snafu(display("{file} is damaged at byte {offset}: {reason}"))]
     Damaged {
         /// Name of the file.
         file: String,
-        /// Offset in the file, in bytes, from which it is not readable.
+        /// Offset in the file, in bytes, from which on it is not readable.
         offset: u64,
         /// What is wrong there.
         reason: String,
     },
-    /// Another version of the format was written.
+    /// The file was written in another version of the format.
     #[snafu(display("{file} is of version {version}, this program reads {VERSION}"))]
     UnsupportedVersion {
         /// Name of the file.
         file: String,
-        /// The version in it.
+        /// The version in the file's header.
         version: u8,
     },
-    /// The disk failed or is full; what was being written may be there or not.
+    /// The disk failed or is full; the bytes that were being written may or may not be on it.
     #[snafu(display("the disk failed while {step} {file}: {source}"))]
     Disk {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// Name of the file.
         file: String,
-        /// What the disk reported.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The log failed before and accepts nothing until it is opened again.
+    /// An earlier write or sync failed: the log accepts nothing until it is opened again.
     #[snafu(display("the log stopped after an earlier failure of the disk"))]
     Stopped,
-    /// A record is too long.
+    /// A record is longer than [`MAX_RECORD_BYTES`].
     #[snafu(display("a record of {bytes} bytes is longer than {MAX_RECORD_BYTES}"))]
     RecordTooLong {
-        /// The record's length.
+        /// The record's length, in bytes.
         bytes: usize,
     },
 }
--- a/crates/linenthread-store/src/files.rs
+++ b/crates/linenthread-store/src/files.rs
@@ -1,4 +1,4 @@
-//! What a log needs of a disk.
+//! The file operations that a log needs.
 
 use std::cell::RefCell;
 use std::io;
@@ -6,42 +6,42 @@
 
 /// Files in one directory, each only ever appended to, truncated or removed.
 pub trait Files {
-    /// The names in the directory.
+    /// Returns the names of the files in the directory.
     ///
     /// # Errors
     ///
-    /// As the disk reports; the same holds for the other methods.
+    /// The disk fails; this holds for all methods.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
-    /// All bytes of a file.
+    /// Returns all bytes of a file.
     ///
     /// # Errors
     ///
     /// As [`Files::list`]; also if there is no such file.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Appends to a file, which is created if there is none.
+    /// Appends to a file, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// As [`Files::list`]; a part of the bytes may have been written.
+    /// As [`Files::list`]; some of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Returns once the file's bytes are durable.
+    /// Makes the file's bytes durable; returns once they are.
     ///
     /// # Errors
     ///
-    /// As [`Files::list`]; what of the file is durable is unknown then.
+    /// As [`Files::list`]; which of the file's bytes are durable is unknown then.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Returns once the directory's names are durable.
+    /// Makes the names in the directory durable; returns once they are.
     ///
     /// # Errors
     ///
     /// As [`Files::list`].
     fn sync_directory(&mut self) -> io::Result<()>;
 
-    /// Truncates a file to so many bytes, durably.
+    /// Truncates a file to `length` bytes, durably.
     ///
     /// # Errors
     ///
@@ -56,7 +56,7 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A disk with several owners: a simulation breaks what a log uses.
+/// A shared disk, so that a simulation can inject faults while a log uses it.
 impl<F: Files> Files for Rc<RefCell<F>> {
     fn list(&mut self) -> io::Result<Vec<String>> {
         self.borrow_mut().list()
--- a/crates/linenthread-store/src/format.rs
+++ b/crates/linenthread-store/src/format.rs
@@ -1,12 +1,12 @@
-//! The bytes of a log file, as specified in `docs/store.md`: a header, then records.
+//! The format of a log file: a header, then records. It is specified in `docs/store.md`.
 
-/// Longest data of a record, in bytes: bounds what a damaged length makes a reader take in.
+/// Maximum length of a record's data, in bytes: limits how much is read if a length field is damaged.
 pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 
-/// Version of the format; others are rejected.
+/// Version of the format; files of other versions are rejected.
 pub(crate) const VERSION: u8 = 1;
 
-/// The first bytes of every file.
+/// First bytes of every file.
 pub(crate) const MAGIC: &[u8; 4] = b"LTLG";
 
 /// Length of a checksum (CRC-32), in bytes.
@@ -15,23 +15,23 @@
 /// Length of a file's header, in bytes: magic, version, generation, number of its first record, checksum.
 pub(crate) const FILE_HEADER_BYTES: usize = 4 + 1 + 8 + 8 + CHECKSUM_BYTES;
 
-/// Length of a record's header, in bytes: length, number, last number that was synced when it was written, kind,
-/// checksum of all that and of the data.
+/// Length of a record's header, in bytes: length of the data, number, number of the last record that was synced when
+/// this one was written, kind, checksum of these fields and the data.
 pub(crate) const RECORD_HEADER_BYTES: usize = 4 + 8 + 8 + 1 + CHECKSUM_BYTES;
 
-/// Kind of a record that a user of the log appended.
+/// Kind of a record that the caller appended.
 pub(crate) const DATA: u8 = 1;
 
-/// Kind of the record that ends what a generation carried over from the one before; without it the generation does not
-/// count.
+/// Kind of the record that marks the end of the records with which a new generation replaces the previous one. A
+/// generation without it is incomplete and is not used.
 pub(crate) const BASE: u8 = 2;
 
-/// Name of a generation's file.
+/// Returns the name of a generation's file.
 pub(crate) fn file_name(generation: u64) -> String {
     format!("{generation:016x}.log")
 }
 
-/// The generation that a file's name stands for, if it is a log file.
+/// Returns the generation that a file's name encodes, if it is a log file.
 pub(crate) fn generation_of(name: &str) -> Option<u64> {
     let digits = name
         .strip_suffix(".log")
@@ -39,7 +39,6 @@
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// A file's header.
 pub(crate) fn encode_file_header(generation: u64, first_number: u64) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.push(VERSION);
@@ -49,16 +48,17 @@
     bytes
 }
 
-/// The number of the first record by a file's header; `None` if this is no header of this version and generation.
+/// Returns the number of a file's first record from its header; `None` unless it is an intact header of this version and
+/// generation.
 pub(crate) fn decode_file_header(bytes: &[u8], generation: u64) -> Option<u64> {
     let header = bytes.get(..FILE_HEADER_BYTES)?;
     let first_number = u64::from_be_bytes(header[13..21].try_into().ok()?);
     (header == encode_file_header(generation, first_number)).then_some(first_number)
 }
 
-/// The version in a file's header if the header is intact but of another version. The header of any version has its
-/// checksum in the same place, so a merely damaged one is not taken for one.
-pub(crate) fn foreign_version(bytes: &[u8]) -> Option<u8> {
+/// Returns the version in a file's header if the header is intact but of another version. All versions have the
+/// checksum at the same position, so a damaged header is not mistaken for one of another version.
+pub(crate) fn unsupported_version(bytes: &[u8]) -> Option<u8> {
     let header = bytes.get(..FILE_HEADER_BYTES)?;
     let (covered, checksum) = header.split_at(FILE_HEADER_BYTES - CHECKSUM_BYTES);
     let is_intact = crc32fast::hash(covered).to_be_bytes() == checksum && header.starts_with(MAGIC);
@@ -66,7 +66,6 @@
     (is_intact && version != VERSION).then_some(version)
 }
 
-/// One record of a file.
 pub(crate) struct Record<'a> {
     pub(crate) number: u64,
     /// Number of the last record that was synced when this one was written.
@@ -76,7 +75,7 @@
 }
 
 impl Record<'_> {
-    /// The record's bytes. The data must not be longer than [`MAX_RECORD_BYTES`].
+    /// Encodes the record. The data must not be longer than [`MAX_RECORD_BYTES`].
     pub(crate) fn encode(&self) -> Vec<u8> {
         let length = u32::try_from(self.data.len()).unwrap_or(u32::MAX);
         let mut bytes = length.to_be_bytes().to_vec();
@@ -91,7 +90,7 @@
         bytes
     }
 
-    /// The record at the start of these bytes, if there is an intact one.
+    /// Decodes the record at the start of these bytes; `None` if there is no intact one.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
         let header = bytes.first_chunk::<RECORD_HEADER_BYTES>()?;
         let length = usize::try_from(u32::from_be_bytes(header[..4].try_into().ok()?)).ok()?;
@@ -110,7 +109,7 @@
         })
     }
 
-    /// Length of the record's bytes.
+    /// Returns the length of the encoded record, in bytes.
     pub(crate) fn encoded_len(&self) -> usize {
         RECORD_HEADER_BYTES + self.data.len()
     }
--- a/crates/linenthread-store/src/generation.rs
+++ b/crates/linenthread-store/src/generation.rs
@@ -1,18 +1,20 @@
-//! Reading the file of one generation.
+//! Reads the file of one generation.
 
 use crate::LogError;
 use crate::error::{DamagedSnafu, UnsupportedVersionSnafu};
-use crate::format::{BASE, DATA, FILE_HEADER_BYTES, Record, decode_file_header, foreign_version};
+use crate::format::{
+    BASE, DATA, FILE_HEADER_BYTES, Record, decode_file_header, unsupported_version,
+};
 
-/// What the file of one generation holds.
+/// The contents of one generation's file.
 #[derive(Default)]
 pub(crate) struct Generation {
     pub(crate) records: Vec<Vec<u8>>,
-    /// All that it carried over from the generation before is there.
+    /// All records with which it replaced the previous generation are present.
     pub(crate) is_complete: bool,
     /// Number of the next record.
     pub(crate) next_number: u64,
-    /// How many bytes, from the start, are intact.
+    /// Length of the intact part at the start of the file, in bytes.
     pub(crate) intact_bytes: usize,
 }
 
@@ -21,11 +23,11 @@
     ///
     /// # Errors
     ///
-    /// It is of another version; or a later record shows that the one that is not intact was synced, so that it is
-    /// damaged and not merely torn.
+    /// The file is of another version; or a later record shows that the first record that is not intact had been
+    /// synced, so that it is damaged and not just a torn write.
     pub(crate) fn read(file: &str, bytes: &[u8], generation: u64) -> Result<Generation, LogError> {
         let Some(first_number) = decode_file_header(bytes, generation) else {
-            check_headless(file, bytes)?;
+            check_never_synced(file, bytes)?;
             return Ok(Generation::default());
         };
         let mut read = Generation {
@@ -34,9 +36,9 @@
             ..Generation::default()
         };
         while let Some(record) = Record::decode(&bytes[read.intact_bytes..]) {
-            read.take(file, &record)?;
+            read.push_record(file, &record)?;
         }
-        // What follows is torn, unless a record behind it was written after it had been synced.
+        // The rest is a torn tail, unless a later record shows that the unreadable one was synced before it.
         let was_synced = (read.intact_bytes..bytes.len())
             .filter_map(|offset| Record::decode(&bytes[offset..]))
             .any(|record| record.number > read.next_number && record.synced >= read.next_number);
@@ -50,7 +52,7 @@
         Ok(read)
     }
 
-    fn take(&mut self, file: &str, record: &Record) -> Result<(), LogError> {
+    fn push_record(&mut self, file: &str, record: &Record) -> Result<(), LogError> {
         if record.number != self.next_number {
             return damaged(
                 file,
@@ -63,28 +65,28 @@
         match record.kind {
             DATA => self.records.push(record.data.to_vec()),
             BASE => self.is_complete = true,
-            _ => return damaged(file, self.intact_bytes, "a record of no known kind"),
+            _ => return damaged(file, self.intact_bytes, "a record of an unknown kind"),
         }
         Ok(())
     }
 }
 
-/// Whether a file without an intact header was never synced.
+/// Checks that a file without an intact header was never synced.
 ///
 /// # Errors
 ///
-/// It is of another version, or was synced once.
-fn check_headless(file: &str, bytes: &[u8]) -> Result<(), LogError> {
-    if let Some(version) = foreign_version(bytes) {
+/// The file is of another version, or was synced.
+fn check_never_synced(file: &str, bytes: &[u8]) -> Result<(), LogError> {
+    if let Some(version) = unsupported_version(bytes) {
         return UnsupportedVersionSnafu { file, version }.fail();
     }
-    // A record that was written after the generation's base had been synced shows that the header was, too.
+    // A record that was written after the generation's base record was synced shows that the header was synced too.
     let records = || (0..bytes.len()).filter_map(|offset| Record::decode(&bytes[offset..]));
     let base_number = records()
         .find(|record| record.kind == BASE)
         .map_or(u64::MAX, |record| record.number);
     if records().any(|record| record.synced >= base_number) {
-        return damaged(file, 0, "its beginning is not readable");
+        return damaged(file, 0, "the file header is not readable");
     }
     Ok(())
 }
--- a/crates/linenthread-store/src/lib.rs
+++ b/crates/linenthread-store/src/lib.rs
@@ -1,16 +1,17 @@
-//! A durable log: records, each with its checksum, that outlast crashes, over a narrow trait for files.
+//! A durable append-only log of checksummed records that survives crashes, over a small trait for files.
 //!
-//! [`Log`] accepts records and returns, after any crash, all that were there at a successful [`Log::sync`], in their
-//! order, and of those after it a prefix. It must not know what the records mean. [`Files`] is all that it knows of a
-//! disk: [`Directory`] is a real one, [`SimulatedDisk`] one in memory that loses, tears, fills up and fails on demand.
+//! After any crash, [`Log`] returns all records that were appended before the last successful [`Log::sync`], in order,
+//! followed by a prefix of the records appended after it. The contents of the records must not matter to this package.
+//! The log accesses the disk through [`Files`] only: [`Directory`] implements it on the file system, and
+//! [`SimulatedDisk`] in memory, with lost and torn writes, a full disk and failing syncs on demand.
 //!
-//! Start reading at [`Log::open`] (`log`); `generation` reads one file, `format` has the bytes, which are specified in
-//! `docs/store.md`.
+//! Start reading at [`Log::open`] (`log`). `generation` reads one file, and `format` encodes and decodes the bytes, which
+//! are specified in `docs/store.md`.
 //!
-//! Named rules: *acknowledged-is-synced* (what was synced is there after any crash, its file's name too),
-//! *torn-tail-only* (only what was never synced is truncated; damage elsewhere is reported with file and offset, never
-//! skipped), *failed-sync-is-final* (after a failed write or sync the log accepts nothing more: what the disk holds of
-//! it is unknown until it is opened again).
+//! Invariants: *acknowledged-is-synced* (a synced record is present after any crash, and so is its file's name),
+//! *torn-tail-only* (only bytes that were never synced are truncated; damage elsewhere is reported with file and offset,
+//! never skipped), *failed-sync-is-final* (after a failed write or sync the log accepts nothing more: which bytes are on
+//! the disk is unknown until the log is opened again).
 
 mod directory;
 mod error;
--- a/crates/linenthread-store/src/log.rs
+++ b/crates/linenthread-store/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: one file a generation, records appended to it, and a new generation to compact it.
+//! The log. Each generation is one file that records are appended to; compaction writes a new generation.
 
 use snafu::{ResultExt, ensure};
 
@@ -9,76 +9,76 @@
 use crate::generation::Generation;
 use crate::{Files, LogError};
 
-/// What a crash left unfinished at the end of a log, which was truncated.
+/// An incomplete write at the end of a log, left by a crash and truncated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TornTail {
     /// Name of the file.
     pub file: String,
-    /// The offset, in bytes, that the file was truncated to.
+    /// The length, in bytes, that the file was truncated to.
     pub offset: u64,
-    /// How many bytes were truncated.
+    /// Number of bytes that were removed.
     pub bytes: u64,
 }
 
-/// A log as it was found.
+/// A log that was opened, with its contents.
 pub struct OpenedLog<F> {
     /// The log, ready for more records.
     pub log: Log<F>,
-    /// All records, the oldest first.
+    /// All records, oldest first.
     pub records: Vec<Vec<u8>>,
-    /// What had to be truncated.
+    /// The incomplete write that was truncated, if there was one.
     pub torn_tail: Option<TornTail>,
 }
 
-/// Records that outlast a crash once they are synced.
+/// A log whose records survive a crash once they are synced.
 #[derive(Debug)]
 pub struct Log<F> {
     files: F,
     generation: u64,
-    /// Number of the next record, counted over all generations.
+    /// Number of the next record; numbering continues across generations.
     next_number: u64,
-    /// Number of the last record that is synced.
+    /// Number of the last synced record.
     synced_number: u64,
-    /// Bytes that were appended and are not yet written.
+    /// Encoded records that are not yet written.
     buffer: Vec<u8>,
-    /// Bytes of this generation's file, those in the buffer included.
+    /// Length of this generation's file, including the buffered bytes.
     file_bytes: u64,
     stopped: bool,
 }
 
 impl<F: Files> Log<F> {
-    /// Opens the log that is there, or begins one.
+    /// Opens the existing log, or creates a new one.
     ///
     /// # Errors
     ///
-    /// What was synced is damaged, another version wrote it, or the disk fails. Nothing is changed then, except that a
-    /// torn tail may have been truncated.
+    /// Synced bytes are damaged, the log is of another version, or the disk fails. The records are unchanged then, except
+    /// that a torn tail may have been truncated.
     pub fn open(mut files: F) -> Result<OpenedLog<F>, LogError> {
         let mut generations: Vec<u64> = files
             .list()
-            .context(disk("listing", "the directory"))?
+            .context(disk_error("listing", "the directory"))?
             .iter()
             .filter_map(|name| generation_of(name))
             .collect();
         generations.sort_unstable();
         match newest_complete(&mut files, &generations)? {
             Some(newest) => Log::resume(files, &generations, newest),
-            None => Log::begin(files, &generations),
+            None => Log::create(files, &generations),
         }
     }
 
-    /// Begins a log where no generation is complete.
-    fn begin(mut files: F, generations: &[u64]) -> Result<OpenedLog<F>, LogError> {
-        // Every generation but the first is begun while the one before it is there.
+    /// Creates a new log where no generation is complete.
+    fn create(mut files: F, generations: &[u64]) -> Result<OpenedLog<F>, LogError> {
+        // Each generation but the first is written while the previous one still exists.
         if let Some(&lost) = generations.iter().find(|generation| **generation > 1) {
             return DamagedSnafu {
                 file: file_name(lost),
                 offset: 0_u64,
-                reason: "what it carried over is not complete, and no file before it is there",
+                reason: "the compacted records in it are incomplete, and there is no earlier file",
             }
             .fail();
         }
-        // Nothing was ever synced here: what is there is an unfinished first generation.
+        // Nothing was ever synced here: an existing file is an incomplete first generation.
         remove_all(&mut files, generations.iter().copied())?;
         let mut log = Log {
             files,
@@ -97,9 +97,13 @@
         })
     }
 
-    /// Goes on with the newest complete generation.
-    fn resume(mut files: F, generations: &[u64], newest: Newest) -> Result<OpenedLog<F>, LogError> {
-        let Newest {
+    /// Resumes the newest complete generation and removes the other files.
+    fn resume(
+        mut files: F,
+        generations: &[u64],
+        newest: NewestGeneration,
+    ) -> Result<OpenedLog<F>, LogError> {
+        let NewestGeneration {
             generation,
             content,
             file_bytes,
@@ -112,11 +116,11 @@
         let file = file_name(generation);
         let intact_bytes = content.intact_bytes as u64;
         let torn_tail = truncate_torn_tail(&mut files, &file, intact_bytes, file_bytes)?;
-        // What was read is relied on from now on, and may not have been synced before the crash.
-        files.sync(&file).context(disk("syncing", &file))?;
+        // The records that were read may not have been synced before the crash, but the caller relies on them from now on.
+        files.sync(&file).context(disk_error("syncing", &file))?;
         files
             .sync_directory()
-            .context(disk("syncing the directory of", &file))?;
+            .context(disk_error("syncing the directory of", &file))?;
         let log = Log {
             files,
             generation,
@@ -133,22 +137,22 @@
         })
     }
 
-    /// Appends a record; it is durable once [`Log::sync`] has returned successfully.
+    /// Appends a record, which is durable once [`Log::sync`] has succeeded.
     ///
     /// # Errors
     ///
     /// The log has stopped, or the record is too long; nothing is appended then.
     pub fn append(&mut self, data: &[u8]) -> Result<(), LogError> {
-        self.check(data)?;
+        self.check_append(data)?;
         self.buffer_record(DATA, data);
         Ok(())
     }
 
-    /// Returns once all that was appended is durable.
+    /// Makes all appended records durable; returns once they are.
     ///
     /// # Errors
     ///
-    /// The disk failed or is full: the log accepts nothing more, and has to be opened again.
+    /// The disk failed or is full: the log accepts nothing more and has to be opened again.
     pub fn sync(&mut self) -> Result<(), LogError> {
         if self.buffer.is_empty() && !self.stopped {
             return Ok(());
@@ -157,14 +161,15 @@
         self.write(|files, buffer| write_file(files, &file, buffer))
     }
 
-    /// Replaces all records by these, in a new generation, and returns once that is durable.
+    /// Replaces all records with these, in a new generation; returns once that is durable.
     ///
     /// # Errors
     ///
-    /// As [`Log::sync`]; after a crash in the middle of it the old records are there.
+    /// As [`Log::sync`], or a record is too long. After a crash before it has returned, the log holds either the old or
+    /// the new records.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), LogError> {
         for data in records {
-            self.check(data)?;
+            self.check_append(data)?;
         }
         let old_file = file_name(self.generation);
         self.generation += 1;
@@ -179,38 +184,40 @@
             write_file(files, &file, buffer)?;
             files
                 .sync_directory()
-                .context(disk("syncing the directory of", &file))?;
-            let names = files.list().context(disk("listing", "the directory"))?;
+                .context(disk_error("syncing the directory of", &file))?;
+            let names = files
+                .list()
+                .context(disk_error("listing", "the directory"))?;
             if names.contains(&old_file) {
                 files
                     .remove(&old_file)
-                    .context(disk("removing", &old_file))?;
+                    .context(disk_error("removing", &old_file))?;
             }
             Ok(())
         })
     }
 
-    /// Bytes of the log's file, those included that are not written yet.
+    /// Returns the length of the log's file in bytes, including those that are not written yet.
     pub fn bytes(&self) -> u64 {
         self.file_bytes
     }
 
-    /// Whether a write or sync has failed, so that the log accepts nothing more.
+    /// Reports whether a write or sync has failed, so that the log accepts nothing more.
     pub fn is_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// The disk below.
+    /// Returns the underlying files.
     pub fn files(&mut self) -> &mut F {
         &mut self.files
     }
 
-    /// Closes the log and returns the disk below. What was not synced is lost.
+    /// Closes the log and returns the underlying files. Records that were not synced may be lost.
     pub fn into_files(self) -> F {
         self.files
     }
 
-    fn check(&self, data: &[u8]) -> Result<(), LogError> {
+    fn check_append(&self, data: &[u8]) -> Result<(), LogError> {
         ensure!(!self.stopped, StoppedSnafu);
         let bytes = data.len();
         ensure!(bytes <= MAX_RECORD_BYTES, RecordTooLongSnafu { bytes });
@@ -229,7 +236,8 @@
         self.buffer.extend(record.encode());
     }
 
-    /// The one place where the disk is written to: a failure is final, because what the disk holds is unknown then.
+    /// Writes the buffer with `write`; all writes to an open log go through here. A failure is final, because which bytes
+    /// are on the disk is unknown then (*failed-sync-is-final*).
     fn write(
         &mut self,
         write: impl FnOnce(&mut F, &[u8]) -> Result<(), LogError>,
@@ -245,26 +253,25 @@
     }
 }
 
-/// The newest generation that is complete.
-struct Newest {
+struct NewestGeneration {
     generation: u64,
     content: Generation,
     file_bytes: u64,
 }
 
-/// Reads the newest complete generation. One that is not complete was being written when the process stopped, and the
-/// one before it is still there.
+/// Reads the newest complete generation. An incomplete one was being written when the process stopped, and the previous
+/// one still exists.
 fn newest_complete<F: Files>(
     files: &mut F,
     generations: &[u64],
-) -> Result<Option<Newest>, LogError> {
+) -> Result<Option<NewestGeneration>, LogError> {
     for &generation in generations.iter().rev() {
         let file = file_name(generation);
-        let bytes = files.read(&file).context(disk("reading", &file))?;
+        let bytes = files.read(&file).context(disk_error("reading", &file))?;
         let content = Generation::read(&file, &bytes, generation)?;
         if content.is_complete {
             let file_bytes = bytes.len() as u64;
-            return Ok(Some(Newest {
+            return Ok(Some(NewestGeneration {
                 generation,
                 content,
                 file_bytes,
@@ -274,7 +281,7 @@
     Ok(None)
 }
 
-/// Truncates what a crash left unfinished behind the intact records.
+/// Truncates the incomplete write that a crash left after the intact records.
 fn truncate_torn_tail<F: Files>(
     files: &mut F,
     file: &str,
@@ -286,7 +293,7 @@
     }
     files
         .truncate(file, intact_bytes)
-        .context(disk("truncating", file))?;
+        .context(disk_error("truncating", file))?;
     Ok(Some(TornTail {
         file: file.to_owned(),
         offset: intact_bytes,
@@ -300,17 +307,19 @@
 ) -> Result<(), LogError> {
     for generation in generations {
         let file = file_name(generation);
-        files.remove(&file).context(disk("removing", &file))?;
+        files.remove(&file).context(disk_error("removing", &file))?;
     }
     Ok(())
 }
 
 fn write_file<F: Files>(files: &mut F, file: &str, bytes: &[u8]) -> Result<(), LogError> {
-    files.append(file, bytes).context(disk("writing", file))?;
-    files.sync(file).context(disk("syncing", file))
+    files
+        .append(file, bytes)
+        .context(disk_error("writing", file))?;
+    files.sync(file).context(disk_error("syncing", file))
 }
 
-fn disk(step: &'static str, file: &str) -> DiskSnafu<&'static str, String> {
+fn disk_error(step: &'static str, file: &str) -> DiskSnafu<&'static str, String> {
     DiskSnafu {
         step,
         file: file.to_owned(),
--- a/crates/linenthread-store/src/simulated_disk.rs
+++ b/crates/linenthread-store/src/simulated_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory, with the faults of real ones on demand: for tests and simulations.
+//! An in-memory disk with fault injection, for tests and simulations.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,48 +8,50 @@
 
 use crate::Files;
 
-/// Bytes that a crash loses or spoils together.
+/// Size of the unit that a crash loses or corrupts, in bytes.
 const PAGE_BYTES: usize = 64;
 
 #[derive(Clone, Debug, Default)]
 struct SimulatedFile {
     bytes: Vec<u8>,
-    /// How many of the bytes are durable.
+    /// Number of bytes, from the start, that are durable.
     synced_bytes: usize,
-    /// The name is durable.
+    /// The file's name is durable.
     name_synced: bool,
 }
 
-/// A disk on which only what was synced outlasts a crash.
+/// A disk on which only synced data is sure to survive a crash.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
     files: BTreeMap<String, SimulatedFile>,
-    /// Files that were removed, and may be back after a crash: the directory was not synced since.
+    /// Files that were removed and may reappear after a crash, because the directory was not synced since.
     removed: BTreeMap<String, SimulatedFile>,
-    /// Writes fail once all files together have so many bytes; `None` for no bound.
+    /// Total size of all files, in bytes, beyond which writes fail; `None` for no limit.
     pub capacity: Option<usize>,
-    /// So many syncs succeed, all after them fail; what a failed one wrote may be durable all the same.
+    /// Number of syncs that succeed before all further ones fail; `None` if none fails. Bytes whose sync failed may
+    /// survive a crash nevertheless.
     pub syncs_until_failure: Option<usize>,
-    /// How many times a file was synced, or was to be.
+    /// Number of calls to [`Files::sync`], failed ones included.
     pub sync_count: usize,
 }
 
-fn full() -> io::Error {
+fn disk_full_error() -> io::Error {
     io::ErrorKind::StorageFull.into()
 }
 
-fn missing() -> io::Error {
+fn not_found_error() -> io::Error {
     io::ErrorKind::NotFound.into()
 }
 
-/// A random offset in this range, which is not empty.
-fn draw(random: &mut Rand64, range: Range<usize>) -> usize {
-    let drawn = random.rand_range(range.start as u64..range.end as u64);
-    usize::try_from(drawn).unwrap_or(range.start)
+/// Returns a random offset in `range`, which must not be empty.
+fn random_offset(random: &mut Rand64, range: Range<usize>) -> usize {
+    let offset = random.rand_range(range.start as u64..range.end as u64);
+    usize::try_from(offset).unwrap_or(range.start)
 }
 
 impl SimulatedDisk {
-    /// The machine loses power: of what was not synced any page may be there, missing or spoilt. Faults end.
+    /// Simulates a power failure: each page that was not synced may be kept, lost or corrupted, and each change of a
+    /// name that was not synced may be undone. Clears the injected faults.
     pub fn crash(&mut self, random: &mut Rand64) {
         for (name, file) in std::mem::take(&mut self.removed) {
             if random.rand_range(0..2) == 0 {
@@ -59,7 +61,7 @@
         self.files
             .retain(|_, file| file.name_synced || random.rand_range(0..2) == 0);
         for file in self.files.values_mut() {
-            let end = draw(random, file.synced_bytes..file.bytes.len() + 1);
+            let end = random_offset(random, file.synced_bytes..file.bytes.len() + 1);
             file.bytes.truncate(end);
             let mut at = file.synced_bytes;
             while at < end {
@@ -76,13 +78,14 @@
         (self.capacity, self.syncs_until_failure) = (None, None);
     }
 
-    /// Leaves room for so many more bytes.
+    /// Sets the capacity so that `bytes` more bytes can be written.
     pub fn limit_free_bytes(&mut self, bytes: usize) {
-        let held: usize = self.files.values().map(|file| file.bytes.len()).sum();
-        self.capacity = Some(held + bytes);
+        let used: usize = self.files.values().map(|file| file.bytes.len()).sum();
+        self.capacity = Some(used + bytes);
     }
 
-    /// Flips one bit of what is durable; the file's name and the byte's offset, or `None` if nothing is durable.
+    /// Flips a random bit in the durable part of the first file that has one, and returns the file's name and the byte's
+    /// offset; `None` if nothing is durable.
     pub fn flip_bit(&mut self, random: &mut Rand64) -> Option<(String, usize)> {
         let name = self
             .files
@@ -91,12 +94,12 @@
             .0
             .clone();
         let file = self.files.get_mut(&name)?;
-        let at = draw(random, 0..file.synced_bytes);
+        let at = random_offset(random, 0..file.synced_bytes);
         file.bytes[at] ^= 1 << random.rand_range(0..8);
         Some((name, at))
     }
 
-    /// Whether there is no file.
+    /// Reports whether there are no files.
     pub fn is_empty(&self) -> bool {
         self.files.is_empty()
     }
@@ -111,19 +114,19 @@
         self.files
             .get(name)
             .map(|file| file.bytes.clone())
-            .ok_or_else(missing)
+            .ok_or_else(not_found_error)
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let held: usize = self.files.values().map(|file| file.bytes.len()).sum();
-        let room = self
+        let used: usize = self.files.values().map(|file| file.bytes.len()).sum();
+        let free = self
             .capacity
-            .map_or(usize::MAX, |capacity| capacity.saturating_sub(held));
+            .map_or(usize::MAX, |capacity| capacity.saturating_sub(used));
         let file = self.files.entry(name.to_owned()).or_default();
-        // A full disk writes what it has room for.
-        file.bytes.extend(&bytes[..bytes.len().min(room)]);
-        if bytes.len() > room {
-            Err(full())
+        // A full disk writes as many bytes as fit.
+        file.bytes.extend(&bytes[..bytes.len().min(free)]);
+        if bytes.len() > free {
+            Err(disk_full_error())
         } else {
             Ok(())
         }
@@ -131,13 +134,13 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.sync_count += 1;
-        if let Some(left) = &mut self.syncs_until_failure {
-            if *left == 0 {
+        if let Some(remaining) = &mut self.syncs_until_failure {
+            if *remaining == 0 {
                 return Err(io::Error::other("a sync failed"));
             }
-            *left -= 1;
+            *remaining -= 1;
         }
-        let file = self.files.get_mut(name).ok_or_else(missing)?;
+        let file = self.files.get_mut(name).ok_or_else(not_found_error)?;
         file.synced_bytes = file.bytes.len();
         Ok(())
     }
@@ -151,7 +154,7 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        let file = self.files.get_mut(name).ok_or_else(missing)?;
+        let file = self.files.get_mut(name).ok_or_else(not_found_error)?;
         file.bytes
             .truncate(usize::try_from(length).unwrap_or(usize::MAX));
         file.synced_bytes = file.bytes.len();
@@ -159,7 +162,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        let file = self.files.remove(name).ok_or_else(missing)?;
+        let file = self.files.remove(name).ok_or_else(not_found_error)?;
         if file.name_synced {
             self.removed.insert(name.to_owned(), file);
         }
