--- a/crates/linenthread-store/src/directory.rs
+++ b/crates/linenthread-store/src/directory.rs
@@ -14,7 +14,7 @@
 /// Why a directory can't be used.
 #[derive(Debug, Snafu)]
 pub enum DirectoryError {
-    /// The directory can't be created, or its lock file can't be used.
+    /// The directory can't be created, locked or synced.
     #[snafu(display("{}: {step}: {source}", path.display()))]
     Io {
         /// The operation that failed.
@@ -53,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// The directory can't be created, its lock file can't be used, or another process has locked it.
+    /// The directory can't be created, locked or synced, or another process has locked it.
     pub fn open(path: &Path) -> Result<Directory, DirectoryError> {
         let failed = |step| IoSnafu { step, path };
         std::fs::create_dir_all(path).context(failed("creating it"))?;
--- a/crates/linenthread-store/src/format.rs
+++ b/crates/linenthread-store/src/format.rs
@@ -48,8 +48,8 @@
     bytes
 }
 
-/// Returns the number of a file's first record from its header; `None` unless it is an intact header of this version and
-/// generation.
+/// Returns the number of a file's first record from its header; `None` unless it is an intact header of this version
+/// and generation.
 pub(crate) fn decode_file_header(bytes: &[u8], generation: u64) -> Option<u64> {
     let header = bytes.get(..FILE_HEADER_BYTES)?;
     let first_number = u64::from_be_bytes(header[13..21].try_into().ok()?);
--- a/crates/linenthread-store/src/lib.rs
+++ b/crates/linenthread-store/src/lib.rs
@@ -5,13 +5,13 @@
 //! The log accesses the disk through [`Files`] only: [`Directory`] implements it on the file system, and
 //! [`SimulatedDisk`] in memory, with lost and torn writes, a full disk and failing syncs on demand.
 //!
-//! Start reading at [`Log::open`] (`log`). `generation` reads one file, and `format` encodes and decodes the bytes, which
-//! are specified in `docs/store.md`.
+//! Start reading at [`Log::open`] (`log`). `generation` reads one file, and `format` encodes and decodes the bytes,
+//! which are specified in `docs/store.md`.
 //!
 //! Invariants: *acknowledged-is-synced* (a synced record is present after any crash, and so is its file's name),
-//! *torn-tail-only* (only bytes that were never synced are truncated; damage elsewhere is reported with file and offset,
-//! never skipped), *failed-sync-is-final* (after a failed write or sync the log accepts nothing more: which bytes are on
-//! the disk is unknown until the log is opened again).
+//! *torn-tail-only* (only bytes that were never synced are truncated; damage elsewhere is reported with file and
+//! offset, never skipped), *failed-sync-is-final* (after a failed write or sync the log accepts nothing more: which
+//! bytes are on the disk is unknown until the log is opened again).
 
 mod directory;
 mod error;
--- a/crates/linenthread-store/src/log.rs
+++ b/crates/linenthread-store/src/log.rs
@@ -51,8 +51,8 @@
     ///
     /// # Errors
     ///
-    /// Synced bytes are damaged, the log is of another version, or the disk fails. The records are unchanged then, except
-    /// that a torn tail may have been truncated.
+    /// Synced bytes are damaged, the log is of another version, or the disk fails. The records are unchanged then,
+    /// except that a torn tail may have been truncated.
     pub fn open(mut files: F) -> Result<OpenedLog<F>, LogError> {
         let mut generations: Vec<u64> = files
             .list()
@@ -116,7 +116,8 @@
         let file = file_name(generation);
         let intact_bytes = content.intact_bytes as u64;
         let torn_tail = truncate_torn_tail(&mut files, &file, intact_bytes, file_bytes)?;
-        // The records that were read may not have been synced before the crash, but the caller relies on them from now on.
+        // The records that were read may not have been synced before the crash, but the caller relies on them from now
+        // on.
         files.sync(&file).context(disk_error("syncing", &file))?;
         files
             .sync_directory()
@@ -236,8 +237,8 @@
         self.buffer.extend(record.encode());
     }
 
-    /// Writes the buffer with `write`; all writes to an open log go through here. A failure is final, because which bytes
-    /// are on the disk is unknown then (*failed-sync-is-final*).
+    /// Writes the buffer with `write`; all writes to an open log go through here. A failure is final, because which
+    /// bytes are on the disk is unknown then (*failed-sync-is-final*).
     fn write(
         &mut self,
         write: impl FnOnce(&mut F, &[u8]) -> Result<(), LogError>,
--- a/crates/linenthread-store/src/simulated_disk.rs
+++ b/crates/linenthread-store/src/simulated_disk.rs
@@ -84,8 +84,8 @@
         self.capacity = Some(used + bytes);
     }
 
-    /// Flips a random bit in the durable part of the first file that has one, and returns the file's name and the byte's
-    /// offset; `None` if nothing is durable.
+    /// Flips a random bit in the durable part of the first file that has one, and returns the file's name and the
+    /// byte's offset; `None` if nothing is durable.
     pub fn flip_bit(&mut self, random: &mut Rand64) -> Option<(String, usize)> {
         let name = self
             .files
