--- a/crates/linenthread-fleet/src/config.rs
+++ b/crates/linenthread-fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! What a process of the fleet is configured with.
+//! Configuration of a process of the fleet.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::error::{ConfigError, DuplicateVoterSnafu, NoProbeIntervalSnafu, NotAmongVotersSnafu};
 use crate::node_identity::NodeIdentity;
 
-/// Where another process is reached.
+/// Name and address of another process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddress {
     /// The process's name.
@@ -18,28 +18,28 @@
     pub address: SocketAddr,
 }
 
-/// What a process is configured with.
+/// Configuration of a process.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     /// This process.
     pub local: NodeIdentity,
-    /// Every voter. A process is a voter where its own name is among them.
+    /// All voters. This process is a voter if its own name is among them.
     pub voters: Vec<PeerAddress>,
-    /// About how many members there are.
+    /// Approximate number of members.
     pub expected_members: u32,
-    /// How often one random member is asked for a sign of life.
+    /// Interval at which one random member is probed.
     pub probe_interval: TenthMillis,
-    /// What all processes of the fleet prove to each other that they know.
+    /// The shared secrets with which the processes of the fleet authenticate each other.
     pub secrets: Secrets,
-    /// Determines all that is random. It must be another one at each start: nonces must not repeat.
+    /// Seed of all randomness. It must differ at each start: nonces must not repeat.
     pub seed: u64,
 }
 
 impl FleetConfig {
-    /// Checks what can be checked without the other processes.
+    /// Checks the configuration as far as possible without the other processes.
     ///
     /// # Errors
-    /// The probe interval is not positive, or two voters have one name.
+    /// The probe interval is not positive, or two voters have the same name.
     pub fn validate(&self) -> Result<(), ConfigError> {
         ensure!(self.probe_interval > 0, NoProbeIntervalSnafu);
         let names = self.voters.iter().map(|voter| voter.name.as_str());
@@ -47,14 +47,14 @@
     }
 }
 
-/// Who a voter is.
+/// Configuration of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
     /// Its name.
     pub name: String,
-    /// All voters' names, its own included.
+    /// Names of all voters, including its own.
     pub voters: Vec<String>,
-    /// Determines all that is random.
+    /// Seed of all randomness.
     pub seed: u64,
 }
 
@@ -62,42 +62,42 @@
     /// Checks that this process can be a voter.
     ///
     /// # Errors
-    /// Two voters have one name, or this process is none of them.
+    /// Two voters have the same name, or this process is not among them.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let name = &self.name;
         ensure!(self.voters.contains(name), NotAmongVotersSnafu { name });
         check_unique(self.voters.iter().map(String::as_str))
     }
 
-    /// The other voters' names.
+    /// Returns the other voters' names.
     pub(crate) fn others(&self) -> impl Iterator<Item = &String> {
         let voters = self.voters.iter();
         voters.filter(|name| **name != self.name)
     }
 }
 
-/// How a process takes part in the membership.
+/// Configuration of a process's membership.
 #[derive(Clone, Debug)]
 pub struct MembersConfig {
     /// This process.
     pub local: NodeIdentity,
-    /// Members that are asked for all others at first.
+    /// Members to which this process announces itself in order to join.
     pub seeds: Vec<PeerAddress>,
-    /// About how many members there are: it sets how long a suspicion lasts.
+    /// Approximate number of members: it determines how long a member is suspected before it is declared down.
     pub expected_members: u32,
-    /// How often one random member is asked for a sign of life.
+    /// Interval at which one random member is probed.
     pub probe_interval: TenthMillis,
-    /// What datagrams are proven with.
+    /// The shared secrets that authenticate datagrams.
     pub secrets: Secrets,
-    /// Determines all that is random.
+    /// Seed of all randomness.
     pub random_seed: u64,
 }
 
 fn check_unique<'n>(names: impl Iterator<Item = &'n str>) -> Result<(), ConfigError> {
-    let mut known = Vec::new();
+    let mut seen = Vec::new();
     for name in names {
-        ensure!(!known.contains(&name), DuplicateVoterSnafu { name });
-        known.push(name);
+        ensure!(!seen.contains(&name), DuplicateVoterSnafu { name });
+        seen.push(name);
     }
     Ok(())
 }
--- a/crates/linenthread-fleet/src/dialer.rs
+++ b/crates/linenthread-fleet/src/dialer.rs
@@ -1,4 +1,4 @@
-//! Whom this process connects to, and when again after a loss.
+//! Decides which processes to connect to, and when to reconnect.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,19 +10,19 @@
 use crate::identifiers::ConnectionId;
 use crate::random::{random_index, random_time};
 
-/// The first backoff after a loss. Each further one is twice as long, and half of it is random, so that those who
-/// lost one process do not all come back to it at once.
+/// Backoff after the first failure. It doubles with each further one, and half of it is random, so that the processes
+/// that lost their connection to the same process do not all reconnect at the same time.
 const FIRST_BACKOFF: TenthMillis = 1_000;
-/// The longest backoff.
+/// Maximum backoff.
 const MAX_BACKOFF: TenthMillis = 50_000;
-/// A connection that lasted so long resets the backoff.
+/// A connection that lasted this long resets the backoff.
 const STABLE_AFTER: TenthMillis = 50_000;
-/// Failures are counted up to this.
+/// Maximum of the failure counter.
 const MAX_FAILURES: u32 = 16;
-/// The backoff doubles so often at most.
+/// Maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// A connection that is being made, or is open.
+/// A connection that is being established, or is open.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     connection: ConnectionId,
@@ -33,34 +33,33 @@
 #[derive(Clone, Debug)]
 struct Target {
     address: SocketAddr,
-    /// Consecutive attempts that failed, or whose connection did not last.
+    /// Consecutive attempts that failed, or whose connection did not last for [`STABLE_AFTER`].
     failures: u32,
-    /// When it may be dialled next.
+    /// Earliest time of the next attempt.
     next_attempt_at: TenthMillis,
     attempt: Option<Attempt>,
 }
 
-/// A process that is to be connected to now.
+/// A connection attempt to be started now.
 pub(crate) struct NewAttempt {
     pub(crate) connection: ConnectionId,
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
 }
 
-/// Which of its targets a process keeps a connection to.
+/// Which targets a process keeps connections to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DialMode {
-    /// All of them.
+    /// All targets.
     All,
-    /// Any one: it is used until it fails.
+    /// One target, which is used until its connection fails.
     AnyOne,
 }
 
-/// Which targets are dialled.
 #[derive(Debug)]
 struct Selection {
     mode: DialMode,
-    /// The target in use where any one will do.
+    /// The selected target in mode [`DialMode::AnyOne`].
     current: Option<String>,
 }
 
@@ -70,7 +69,7 @@
     }
 }
 
-/// The processes that are dialled from here.
+/// Keeps connections to its targets, with a backoff after failures.
 #[derive(Debug)]
 pub(crate) struct Dialer {
     targets: BTreeMap<String, Target>,
@@ -79,7 +78,8 @@
 }
 
 impl Dialer {
-    /// Dials these processes, each after a short random time.
+    /// Creates a dialer for these targets; the first attempt to each follows after a random time below
+    /// [`FIRST_BACKOFF`].
     pub(crate) fn new(
         targets: impl Iterator<Item = PeerAddress>,
         mode: DialMode,
@@ -108,12 +108,12 @@
         dialer
     }
 
-    /// Nobody is dialled.
+    /// Returns a dialer without targets.
     pub(crate) fn idle(now: TenthMillis) -> Dialer {
         Dialer::new(std::iter::empty(), DialMode::AnyOne, 0, now)
     }
 
-    /// Selects a random target, but not the one that has just failed where there is another.
+    /// In mode [`DialMode::AnyOne`], selects a random target other than the current one, if there is another.
     fn select(&mut self) {
         if self.selection.mode == DialMode::All || self.targets.is_empty() {
             return;
@@ -132,7 +132,7 @@
         self.selection.mode
     }
 
-    /// When [`Dialer::start_attempts`] has something to dial.
+    /// Returns when [`Dialer::start_attempts`] next has an attempt to start.
     pub(crate) fn wake_at(&self) -> TenthMillis {
         self.targets
             .iter()
@@ -142,7 +142,7 @@
             .unwrap_or(TenthMillis::MAX)
     }
 
-    /// Those to be dialled now; `next_connection` numbers their connections.
+    /// Starts and returns the attempts that are due; `next_connection` provides the connections' ids.
     pub(crate) fn start_attempts(
         &mut self,
         now: TenthMillis,
@@ -168,7 +168,7 @@
         attempts
     }
 
-    /// A connection could not be made, or has ended.
+    /// Handles a connection that could not be established, or has ended, and schedules the next attempt.
     pub(crate) fn on_closed(&mut self, now: TenthMillis, connection: ConnectionId) {
         let is_closed = |attempt: Attempt| attempt.connection == connection;
         let mut targets = self.targets.values_mut();
--- a/crates/linenthread-fleet/src/error.rs
+++ b/crates/linenthread-fleet/src/error.rs
@@ -1,4 +1,4 @@
-//! Why something of the fleet cannot be decoded, opened or proposed.
+//! Errors of this package.
 
 use linenthread_frames::DecodeError;
 use linenthread_store::LogError;
@@ -6,20 +6,20 @@
 
 use crate::identifiers::{LogIndex, Term};
 
-/// Why a configuration cannot be right.
+/// Why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigError {
-    /// Members would be probed without a pause.
+    /// The probe interval is not positive.
     #[snafu(display("the probe interval must be longer than 0"))]
     NoProbeInterval,
-    /// Two voters have one name.
+    /// Two voters have the same name.
     #[snafu(display("the voter {name} is listed twice"))]
     DuplicateVoter {
         /// The name.
         name: String,
     },
-    /// A voter is to be opened where none is configured.
+    /// The process to be opened as a voter is not listed as one.
     #[snafu(display("{name} is to be a voter, but is not listed as one"))]
     NotAmongVoters {
         /// The process's name.
@@ -27,57 +27,57 @@
     },
 }
 
-/// Why bytes are no frame of the fleet, no record of a voter's disk, or no datagram. The text is sent to the peer whose
-/// frame it was: it is wire format.
+/// Why bytes are not a valid frame, record of a voter's disk, or datagram. For a frame, the text is sent to the peer
+/// that sent it: the texts are part of the wire format.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RecordError {
-    /// A field does not decode.
+    /// A field cannot be decoded.
     #[snafu(transparent)]
     Field {
-        /// What the decoder found.
+        /// The decoder's error.
         source: DecodeError,
     },
     /// The kind of a frame is unknown.
     #[snafu(display("no frame is of kind {kind}"))]
     UnknownFrame {
-        /// The byte that stands for the kind.
+        /// The kind's byte.
         kind: u8,
     },
     /// The kind of a Raft message is unknown.
     #[snafu(display("no message is of kind {kind}"))]
     UnknownMessage {
-        /// The byte that stands for the kind.
+        /// The kind's byte.
         kind: u8,
     },
     /// The kind of a record on disk is unknown.
     #[snafu(display("no record is of kind {kind}"))]
     UnknownRecord {
-        /// The byte that stands for the kind.
+        /// The kind's byte.
         kind: u8,
     },
     /// A voter's progress is unknown.
     #[snafu(display("no standing is {code}"))]
     UnknownProgress {
-        /// The byte that stands for the progress.
+        /// The progress's byte.
         code: u8,
     },
-    /// A gossip message is of an unknown kind.
+    /// The kind of a gossip message is unknown.
     #[snafu(display("no gossip is of kind {kind}"))]
     UnknownGossip {
-        /// The byte that stands for the kind.
+        /// The kind's byte.
         kind: u8,
     },
     /// A member's state is unknown.
     #[snafu(display("no state is {code}"))]
     UnknownMemberState {
-        /// The byte that stands for the state.
+        /// The state's byte.
         code: u8,
     },
-    /// An address is of an unknown family.
+    /// The address family is unknown.
     #[snafu(display("an address cannot be of kind {kind}"))]
     UnknownAddressFamily {
-        /// The byte that stands for the family.
+        /// The family's byte.
         kind: u8,
     },
     /// The context of a Raft message is longer than the limit.
@@ -86,25 +86,25 @@
     /// A Raft message has more entries than the limit.
     #[snafu(display("{count} entries are too many"))]
     TooManyEntries {
-        /// How many.
+        /// Number of entries.
         count: u16,
     },
     /// A report is longer than the limit.
     #[snafu(display("a report of {length} bytes is too long"))]
     ReportTooLong {
-        /// Its length in bytes.
+        /// Its length, in bytes.
         length: usize,
     },
     /// A topic or a value is longer than the limit.
     #[snafu(display("a value is too long for the record"))]
     ValueTooLong,
-    /// An entry does not follow those before it.
+    /// An entry's index leaves a gap after the previous entries, or is covered by the snapshot.
     #[snafu(display("an entry stands where none can be"))]
     MisplacedEntry,
     /// A name is empty, or longer than the limit.
     #[snafu(display("a name is too long or empty"))]
     InvalidName,
-    /// More names were received than are remembered.
+    /// More distinct names were received than the limit.
     #[snafu(display("too many names"))]
     TooManyNames,
 }
@@ -116,51 +116,52 @@
     /// The log failed, or cannot be opened.
     #[snafu(transparent)]
     Log {
-        /// What the log reports.
+        /// The log's error.
         source: LogError,
     },
-    /// A record in the log does not decode.
+    /// A record in the log cannot be decoded or applied.
     #[snafu(display("record {number} of the voter's log is damaged: {source}"))]
     DamagedRecord {
-        /// The record's number in the log, from 0.
+        /// The record's position in the log, from 0.
         number: usize,
-        /// What is wrong with it.
+        /// What is wrong with the record.
         source: RecordError,
     },
-    /// An entry that Raft wanted written does not follow those before it.
+    /// An entry that Raft asked to append does not follow the previous ones.
     #[snafu(display("the disk failed: {source}"))]
     Append {
-        /// What is wrong with it.
+        /// What is wrong with the entry.
         source: RecordError,
     },
-    /// Raft cannot start from what the disk holds.
+    /// Raft cannot start from the stored state.
     #[snafu(display("the disk failed: {source}"))]
     Start {
-        /// What is wrong.
+        /// Why Raft cannot start.
         source: StartError,
     },
 }
 
-/// Why a process cannot join, or its voter cannot be opened: a voter must not take part with less than it promised.
+/// Why a process cannot join, or its voter cannot be opened. A voter must not participate in Raft after it lost part of
+/// the state that its earlier messages relied on.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OpenError {
-    /// The configuration contradicts itself.
+    /// The configuration is invalid.
     #[snafu(transparent)]
     InvalidConfig {
-        /// In what way.
+        /// What is wrong with it.
         source: ConfigError,
     },
-    /// What was written is damaged, or of another version.
+    /// The stored state is damaged, or of another version.
     #[snafu(display("{source}"))]
     OpenStorage {
-        /// What was found.
+        /// Why it cannot be used.
         source: StorageError,
     },
-    /// The folder is another voter's.
+    /// The directory was written by another voter.
     #[snafu(display("the folder belongs to the voter {owner}, not to {local}"))]
-    ForeignFolder {
-        /// The voter that wrote the folder.
+    ForeignDirectory {
+        /// The voter that wrote the directory.
         owner: String,
         /// The voter that was to be opened.
         local: String,
@@ -180,10 +181,10 @@
     /// The topic or the value is longer than the limit.
     #[snafu(display("the value is too long"))]
     TooLong,
-    /// Raft refused it, mostly since too much waits to be committed.
+    /// Raft refused the proposal, mostly because too many bytes wait to be committed.
     #[snafu(display("{source}"))]
     Refused {
-        /// Raft's cause.
+        /// Raft's error.
         source: raft::Error,
     },
 }
@@ -192,65 +193,67 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DatagramError {
-    /// It is shorter than a proof.
+    /// It is shorter than a proof of the secret.
     #[snafu(display("a datagram is shorter than its proof"))]
     TooShort,
-    /// It does not prove the secret.
+    /// Its proof was not made with one of the shared secrets.
     #[snafu(display("a datagram is not authenticated"))]
-    Unproven,
-    /// The gossip protocol refused it.
+    Unauthenticated,
+    /// foca rejected it.
     #[snafu(display("{source}"))]
     Gossip {
-        /// The protocol's cause.
+        /// foca's error.
         source: foca::Error,
     },
 }
 
-/// Why a peer's Raft message is not passed to Raft: no correct voter sends it, and the library would panic on it.
+/// Why a peer's Raft message is not passed to the raft library, which would panic on it. No correct voter sends such a
+/// message.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum MessageError {
-    /// An entry does not follow the one before it, or contradicts a committed one.
+    /// An entry does not follow the one before it, has a term later than the message's, or contradicts a committed
+    /// entry.
     #[snafu(display("entry {index} of term {term} does not fit the log"))]
-    ImpossibleEntry {
+    InvalidEntry {
         /// The entry's index.
         index: LogIndex,
         /// The entry's term.
         term: Term,
     },
-    /// The commit index is beyond the entries that this voter has acknowledged.
+    /// The commit index is beyond this voter's last entry.
     #[snafu(display("commit index {commit} is beyond the last entry, {last_index}"))]
-    ImpossibleCommit {
+    InvalidCommit {
         /// The message's commit index.
         commit: LogIndex,
-        /// The index of the last entry here.
+        /// The index of this voter's last entry.
         last_index: LogIndex,
     },
-    /// The state in a snapshot does not decode.
+    /// The state in a snapshot cannot be decoded.
     #[snafu(display("{source}"))]
     MalformedSnapshot {
-        /// What the decoder found.
+        /// The decoder's error.
         source: DecodeError,
     },
-    /// A message that is only for a voter's own use.
+    /// A message of a type that a voter sends only to itself.
     #[snafu(display("a message for a voter's own use"))]
     LocalMessage,
 }
 
-/// Why a voter cannot begin to take part in Raft with what its disk holds.
+/// Why Raft cannot start from a voter's stored state.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
-    /// The replicated state in the snapshot does not decode.
+    /// The replicated state in the snapshot cannot be decoded.
     #[snafu(display("{source}"))]
     State {
-        /// What the decoder found.
+        /// The decoder's error.
         source: DecodeError,
     },
-    /// Raft refuses the state that was written.
+    /// Raft rejects the stored state.
     #[snafu(display("{source}"))]
     Raft {
-        /// Raft's cause.
+        /// Raft's error.
         source: raft::Error,
     },
 }
--- a/crates/linenthread-fleet/src/event.rs
+++ b/crates/linenthread-fleet/src/event.rs
@@ -1,4 +1,4 @@
-//! What a fleet reports for the log.
+//! Events that are written to the log.
 
 use std::fmt;
 
@@ -7,79 +7,79 @@
 use crate::error::{MessageError, StorageError};
 use crate::identifiers::{Term, VoterIncarnation};
 
-/// Something that an operator should find in the log; its `Display` is the log line.
+/// An event for the operator; its `Display` is the text of the log line.
 #[derive(Debug)]
 pub enum FleetEvent {
-    /// A torn end of the voter's log, which a crash had left, was cut off.
+    /// An incomplete write that a crash had left at the end of the voter's log was truncated.
     TornTailTruncated(TornTail),
-    /// A voter was opened here.
+    /// This process's voter was opened.
     VoterOpened,
-    /// The fleet is founded, with this voter as one of its founders.
+    /// This voter has become a founder of a new fleet.
     Founded,
-    /// The voter's disk is empty although the fleet exists: it has drawn another identity.
+    /// The voter's disk is empty although the fleet exists: it has drawn a new identity.
     IdentityReplaced {
         /// The incarnation of the new identity.
         incarnation: VoterIncarnation,
     },
-    /// This process leads from now on.
+    /// This process has become the leader.
     LeadershipAcquired {
         /// Raft's term.
         term: Term,
     },
-    /// This process does not lead any more.
+    /// This process is no longer the leader.
     LeadershipLost {
-        /// Raft's term; [`Term::NONE`] where the voter takes no part in Raft any more.
+        /// Raft's term; [`Term::NONE`] if the voter no longer participates in Raft.
         term: Term,
     },
-    /// A change of the voters was proposed here.
+    /// This process has proposed a change of the voters.
     VoterChangeProposed(VoterChange),
     /// A change of the voters was committed.
     VoterChanged(VoterChange),
-    /// The voter's disk has failed.
-    SteppedDown {
+    /// The voter has stopped because its disk failed, or Raft could not start from it.
+    VoterStopped {
         /// How it failed.
         cause: StorageError,
     },
-    /// A peer that was configured with other voters is ignored.
-    OtherFounders {
+    /// A peer's progress report was ignored because the peer is configured with other voters.
+    FoundersMismatch {
         /// The peer's name.
         peer: String,
     },
-    /// A peer's Raft message was not accepted.
+    /// A peer's Raft message was rejected.
     MessageRejected {
         /// The peer's name.
         peer: String,
         /// Why.
         cause: MessageError,
     },
-    /// This process was declared down and has refuted it.
+    /// This process was declared down by other members and has refuted it.
     DownRefuted,
 }
 
-/// One voter that joins or leaves those that vote.
+/// The addition or removal of one voter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterChange {
     /// The voter's name.
     pub name: String,
     /// The incarnation of its identity.
     pub incarnation: VoterIncarnation,
-    /// Whether it joins or leaves.
+    /// Whether it is added or removed.
     pub kind: VoterChangeKind,
 }
 
-/// Whether a voter joins or leaves.
+/// Whether a voter is added or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterChangeKind {
-    /// It joins.
+    /// The voter is added.
     Add,
-    /// It leaves.
+    /// The voter is removed.
     Remove,
 }
 
-/// What becomes of a connection; its `Display` is the log line.
+/// A change of a connection's state; its `Display` is the text of the log line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConnectionEvent {
-    /// Both sides have proven themselves.
+    /// Both sides are authenticated; the connection is established.
     Connected {
         /// The peer's name.
         peer: String,
@@ -120,8 +120,8 @@
                 write!(f, "voter change proposed: {change}")
             }
             FleetEvent::VoterChanged(change) => write!(f, "voter change committed: {change}"),
-            FleetEvent::SteppedDown { cause } => write!(f, "voter stopped: {cause}"),
-            FleetEvent::OtherFounders { peer } => {
+            FleetEvent::VoterStopped { cause } => write!(f, "voter stopped: {cause}"),
+            FleetEvent::FoundersMismatch { peer } => {
                 write!(f, "{peer} is configured with other voters, ignored")
             }
             FleetEvent::MessageRejected { peer, cause } => {
--- a/crates/linenthread-fleet/src/fleet/action.rs
+++ b/crates/linenthread-fleet/src/fleet/action.rs
@@ -1,4 +1,4 @@
-//! What a process of the fleet asks its caller to do.
+//! The actions that a process of the fleet requests from its caller.
 
 use std::net::SocketAddr;
 
@@ -7,14 +7,14 @@
 use crate::node_identity::NodeIdentity;
 use crate::state_table::CommittedValue;
 
-/// What the caller has to do, in order.
+/// What the caller has to do or is notified of, in order.
 #[derive(Debug)]
 pub enum FleetAction {
     /// Open a connection.
     Dial {
-        /// The connection's number from now on.
+        /// The id of the new connection.
         connection: ConnectionId,
-        /// Where to.
+        /// The address to connect to.
         address: SocketAddr,
     },
     /// Write to a connection.
@@ -24,7 +24,7 @@
         /// The bytes.
         bytes: Vec<u8>,
     },
-    /// Close a connection once everything before is written.
+    /// Close a connection once all earlier writes to it are done.
     Close {
         /// The connection.
         connection: ConnectionId,
@@ -33,26 +33,26 @@
     },
     /// Send a datagram.
     Datagram {
-        /// Where to.
+        /// The address to send it to.
         to: SocketAddr,
         /// The datagram.
         bytes: Vec<u8>,
     },
     /// A value was committed.
     Committed(CommittedValue),
-    /// A member is alive, or is back.
+    /// A member is alive, or has returned under a new identity.
     MemberUp(NodeIdentity),
     /// A member is down, or has left.
     MemberDown(NodeIdentity),
-    /// A report was received from another process, or is this one's own and for the leader here.
+    /// A report was received from another process, or this process is the leader and has made a report itself.
     Report {
-        /// The process that reports.
+        /// Name of the reporting process.
         from: String,
         /// The report.
         bytes: Vec<u8>,
     },
-    /// Write to the log what has become of a connection.
+    /// Log a change of a connection's state.
     LogConnection(ConnectionEvent),
-    /// Write to the log.
+    /// Log an event.
     Log(FleetEvent),
 }
--- a/crates/linenthread-fleet/src/fleet/connection.rs
+++ b/crates/linenthread-fleet/src/fleet/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to another process: how far it has come, what it has received, and when it times out.
+//! One connection to another process: its phase, its receive buffer and its timeouts.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::Nonce;
@@ -6,23 +6,23 @@
 use crate::error::RecordError;
 use crate::frame::{Frame, Role};
 
-/// A connection must be established within so long.
+/// Time within which a connection must be established.
 const HANDSHAKE_TIMEOUT: TenthMillis = 20_000;
-/// An established connection on which nothing is received for so long is closed.
+/// An established connection is closed if nothing is received on it for this long.
 const RECEIVE_TIMEOUT: TenthMillis = 50_000;
 const PING_INTERVAL: TenthMillis = 10_000;
 
-/// How far a connection has come.
+/// Phase of a connection.
 pub(super) enum Phase {
-    /// This side connected and waits for the challenge.
+    /// The connecting side waits for the challenge.
     AwaitingChallenge { peer: String },
-    /// It has sent its hello and waits for the welcome.
+    /// The connecting side has sent its hello and waits for the welcome.
     AwaitingWelcome { peer: String, nonce: Nonce },
-    /// This side accepted, has sent its challenge and waits for the hello.
+    /// The accepting side has sent its challenge and waits for the hello.
     AwaitingHello { nonce: Nonce },
-    /// Both sides have proven themselves.
+    /// Both sides are authenticated.
     Established(Peer),
-    /// The caller was requested to close it.
+    /// The caller was asked to close it.
     Closing,
 }
 
@@ -33,26 +33,26 @@
     pub(super) role: Role,
 }
 
-/// A connection, from when it is dialled or accepted until the caller reports its end.
+/// A connection, from when it is dialled or accepted until the caller reports that it is closed.
 pub(super) struct Connection {
     pub(super) phase: Phase,
-    /// Received bytes that are no complete frame yet.
+    /// Received bytes of an incomplete frame.
     buffer: Vec<u8>,
     opened_at: TenthMillis,
     received_at: TenthMillis,
     pinged_at: TenthMillis,
 }
 
-/// Bytes of a connection, taken apart: the frames before an error are still valid.
+/// The frames decoded from received bytes. If there is an error, the frames before it are valid.
 pub(super) struct Received {
     pub(super) frames: Vec<Frame>,
     pub(super) result: Result<(), RecordError>,
 }
 
-/// What has to be done on a connection whose time has come.
+/// What has to be done on a connection when a timer has expired.
 pub(super) enum Timer {
     Ping,
-    /// It has timed out, for this reason.
+    /// Close the connection, which has timed out for this reason.
     Close(&'static str),
 }
 
@@ -96,12 +96,11 @@
         }
     }
 
-    /// A ping is sent now.
     pub(super) fn on_ping_sent(&mut self, now: TenthMillis) {
         self.pinged_at = now;
     }
 
-    /// Takes in bytes, and returns the frames that are complete with them.
+    /// Adds received bytes to the buffer, and returns the frames that are now complete.
     pub(super) fn on_received(&mut self, now: TenthMillis, bytes: &[u8]) -> Received {
         self.received_at = now;
         self.buffer.extend_from_slice(bytes);
@@ -110,7 +109,7 @@
         Received { frames, result }
     }
 
-    /// Whether it is established with a process that is no voter.
+    /// Reports whether it is established and the peer is a follower.
     pub(super) fn is_follower(&self) -> bool {
         matches!(&self.phase, Phase::Established(peer) if peer.role == Role::Follower)
     }
--- a/crates/linenthread-fleet/src/fleet/connections.rs
+++ b/crates/linenthread-fleet/src/fleet/connections.rs
@@ -1,4 +1,4 @@
-//! All connections of a process: they are dialled, accepted, pinged and closed, and their bytes become frames.
+//! The connections of a process: dialling, accepting, decoding frames, pinging and closing.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_store::Files;
@@ -9,16 +9,16 @@
 use crate::frame::{Frame, VERSION};
 use crate::identifiers::ConnectionId;
 
-/// The most connections at once: as many as a fleet has members, and some whose handshake is under way.
+/// Maximum number of connections: the maximum number of members of a fleet, and some more in their handshake.
 const MAX_CONNECTIONS: usize = 1_280;
-/// The most characters of a peer's reason that are repeated.
+/// Maximum length of a peer's reason in this process's own reason for closing, in characters.
 const MAX_REASON_CHARS: usize = 160;
 
-/// A frame of another kind was expected. It goes to the peer in [`Frame::Refuse`]: it is wire format.
+/// Sent to the peer in [`Frame::Refuse`] if a frame of another kind was expected; part of the wire format.
 pub(super) const UNEXPECTED_FRAME: &str = "a frame came out of its turn";
 
 impl<F: Files> Fleet<F> {
-    /// Dials whom it is time to dial.
+    /// Starts the connection attempts that are due.
     pub(super) fn start_connection_attempts(
         &mut self,
         now: TenthMillis,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A connection was accepted: its id from now on, or `None` where there are too many.
+    /// Handles an accepted connection. Returns its id, or `None` if there are too many connections.
     pub fn on_accepted(
         &mut self,
         now: TenthMillis,
@@ -60,7 +60,7 @@
         Some(id)
     }
 
-    /// Bytes were received over a connection.
+    /// Handles bytes that were received over a connection.
     pub fn on_received(
         &mut self,
         now: TenthMillis,
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Only a peer that has proven itself gets beyond the handshake: see `handshake` and `replication`.
+    /// Handles a frame. Until the peer is authenticated, only handshake frames and refusals are accepted; see
+    /// `handshake` and `replication`.
     fn on_frame(
         &mut self,
         now: TenthMillis,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Pings, and closes connections that have timed out.
+    /// Sends the pings that are due, and closes connections that have timed out.
     pub(super) fn check_connections(&mut self, now: TenthMillis, actions: &mut Vec<FleetAction>) {
         let mut timed_out = Vec::new();
         for (&id, connection) in &mut self.connections {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// A connection has ended, or could not be made.
+    /// Handles a connection that has ended, or could not be established.
     pub fn on_closed(
         &mut self,
         now: TenthMillis,
@@ -135,18 +136,19 @@
         let Some(connection) = self.connections.remove(&id) else {
             return;
         };
-        if let Some(peer) = self.forget_established(id, connection.phase) {
+        if let Some(peer) = self.remove_established(id, connection.phase) {
             let disconnected = ConnectionEvent::Disconnected { peer };
             actions.push(FleetAction::LogConnection(disconnected));
         }
     }
 
-    /// Removes a connection of this phase from those that are established; its peer if it was one of them.
-    fn forget_established(&mut self, id: ConnectionId, phase: Phase) -> Option<String> {
+    /// Removes a connection that was in this phase from the established ones. Returns the peer's name if it was one of
+    /// them.
+    fn remove_established(&mut self, id: ConnectionId, phase: Phase) -> Option<String> {
         let Phase::Established(peer) = phase else {
             return None;
         };
-        // A newer connection with the same peer may have taken its place.
+        // A newer connection with the same peer may have replaced it.
         if self.established.get(&peer.name) != Some(&id) {
             return None;
         }
@@ -162,14 +164,14 @@
             return;
         };
         let phase = std::mem::replace(&mut connection.phase, Phase::Closing);
-        self.forget_established(id, phase);
+        self.remove_established(id, phase);
         actions.push(FleetAction::Close {
             connection: id,
             reason: reason.to_owned(),
         });
     }
 
-    /// Tells the peer why, and closes the connection.
+    /// Sends the peer the reason, and closes the connection.
     pub(super) fn refuse(
         &mut self,
         id: ConnectionId,
--- a/crates/linenthread-fleet/src/fleet/handshake.rs
+++ b/crates/linenthread-fleet/src/fleet/handshake.rs
@@ -1,6 +1,7 @@
-//! The handshake: each side proves the shared secret over a nonce of the other's before anything else is accepted.
+//! The handshake. Before any other frame is accepted, each side proves that it knows the shared secret; each proof
+//! covers a nonce of the other side.
 //!
-//! | the side that connects | the side that accepts |
+//! | connecting side | accepting side |
 //! | --- | --- |
 //! | | challenge: its versions, its name, a nonce |
 //! | hello: its version, name and role, a nonce, and its proof | |
@@ -18,11 +19,11 @@
 use crate::node_identity::MAX_NAME_BYTES;
 use crate::voter::{Stage, Voter};
 
-/// The reasons below go to the peer in [`Frame::Refuse`]: they are wire format.
-const UNPROVEN: &str = "it does not prove the secret";
+// Reasons that are sent to the peer in [`Frame::Refuse`]; they are part of the wire format.
+const UNAUTHENTICATED: &str = "it does not prove the secret";
 const INVALID_NAME: &str = "it cannot have that name here";
 
-/// What the side that accepts has sent first.
+/// The fields of [`Frame::Challenge`].
 struct Challenge {
     min_version: u8,
     max_version: u8,
@@ -31,8 +32,8 @@
 }
 
 impl Challenge {
-    /// Why this process does not go on with a peer that was expected to have this name, if it does not.
-    fn objection(&self, expected_name: &str) -> Option<String> {
+    /// Returns the reason to refuse the peer, if its version is not supported or its name is not the expected one.
+    fn refusal_reason(&self, expected_name: &str) -> Option<String> {
         let Challenge {
             min_version,
             max_version,
@@ -50,7 +51,7 @@
 }
 
 impl<F: Files> Fleet<F> {
-    /// A frame of a peer that has not proven itself yet.
+    /// Handles a frame of a peer that is not authenticated yet.
     pub(super) fn on_handshake_frame(
         &mut self,
         id: ConnectionId,
@@ -98,7 +99,7 @@
         challenge: Challenge,
         actions: &mut Vec<FleetAction>,
     ) {
-        if let Some(reason) = challenge.objection(expected_name) {
+        if let Some(reason) = challenge.refusal_reason(expected_name) {
             return self.refuse(id, &reason, actions);
         }
         let nonce = self.draw_nonce();
@@ -117,10 +118,11 @@
         }
     }
 
-    /// A voter whose disk has failed connects as a follower, which learns what is committed.
+    /// Returns the role in which this process connects. A voter whose disk has failed is a follower, so that it
+    /// receives committed values.
     fn role(&self) -> Role {
-        let takes_part = |voter: &Voter<F>| !matches!(voter.stage(), Stage::Stopped(_));
-        if self.voter.as_ref().is_some_and(takes_part) {
+        let is_running = |voter: &Voter<F>| !matches!(voter.stage(), Stage::Stopped(_));
+        if self.voter.as_ref().is_some_and(is_running) {
             Role::Voter
         } else {
             Role::Follower
@@ -135,7 +137,7 @@
         actions: &mut Vec<FleetAction>,
     ) {
         let Some(secret) = hello.verify(&self.secrets, challenge) else {
-            return self.refuse(id, UNPROVEN, actions);
+            return self.refuse(id, UNAUTHENTICATED, actions);
         };
         if hello.version != VERSION {
             let reason = format!("version {} is not spoken here", hello.version);
@@ -153,7 +155,7 @@
         self.on_established(id, peer, actions);
     }
 
-    /// Whether a peer may have the name and the role that it gives: nobody else connects as one of the voters.
+    /// Reports whether a peer may use the name and the role in its hello: only configured voters may connect as voters.
     fn may_connect(&self, hello: &Hello) -> bool {
         let name = &hello.name;
         let is_configured_voter = self.voters.iter().any(|voter| voter.name == *name);
@@ -175,11 +177,11 @@
             let role = Role::Voter;
             self.on_established(id, Peer { name, role }, actions);
         } else {
-            self.refuse(id, UNPROVEN, actions);
+            self.refuse(id, UNAUTHENTICATED, actions);
         }
     }
 
-    /// Both sides have proven themselves.
+    /// Establishes the connection after both sides are authenticated.
     fn on_established(&mut self, id: ConnectionId, peer: Peer, actions: &mut Vec<FleetAction>) {
         let Peer { name, role } = peer.clone();
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -194,7 +196,8 @@
         }
     }
 
-    /// One connection a pair: the newer one counts, for the other side has given up the older one.
+    /// Closes an older connection with the same peer, if there is one. There is one connection for each pair of
+    /// processes; the peer has abandoned the older one.
     fn replace_older_connection(
         &mut self,
         id: ConnectionId,
--- a/crates/linenthread-fleet/src/fleet/mod.rs
+++ b/crates/linenthread-fleet/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! One process's part in the fleet: membership, replicated state and connections put together.
+//! One process of the fleet: combines membership, replicated state and connections.
 //!
-//! `connections` has what the caller tells of connections, `handshake` what happens before a peer has proven itself,
-//! and `replication` all that follows: a value that is proposed here or was committed elsewhere passes through it.
+//! `connections` handles the connections and their bytes, `handshake` the frames of peers that are not authenticated
+//! yet, and `replication` the frames of established connections, proposals and committed values.
 
 mod action;
 mod connection;
@@ -28,7 +28,7 @@
 pub use action::FleetAction;
 use connection::Connection;
 
-/// Who leads, as far as a process knows.
+/// The leader that a process knows of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Leader<'f> {
     /// The leader's name.
@@ -37,7 +37,7 @@
     pub term: Term,
 }
 
-/// One process's part in the fleet, a state machine without I/O or clock.
+/// One process of the fleet, a state machine without I/O or clock.
 pub struct Fleet<F: Files> {
     /// This process's name.
     local: String,
@@ -46,19 +46,19 @@
     rng: Rand64,
     members: Members,
     voter: Option<Voter<F>>,
-    /// Committed values as voters tell them, while this process takes no part as a voter itself.
+    /// Committed values as received from voters; used while this process is not an active voter.
     table: StateTable,
     dialer: Dialer,
     connections: BTreeMap<ConnectionId, Connection>,
     /// The established connection with each process.
     established: BTreeMap<String, ConnectionId>,
     last_connection: ConnectionId,
-    /// Datagrams, frames and connections that were refused so far.
+    /// Number of datagrams, frames and connections that were refused so far.
     refused: u64,
 }
 
 impl<F: Files> Fleet<F> {
-    /// Joins. `files` is a voter's disk; a process that is no voter does not use it.
+    /// Joins the fleet. `files` is the disk of a voter; other processes do not use it.
     ///
     /// # Errors
     /// The configuration is invalid, or as [`Voter::new`].
@@ -101,7 +101,7 @@
         Ok(fleet)
     }
 
-    /// Takes part as a voter from now on: at the start, or once its disk works again.
+    /// Opens this process's voter: at the start, or again after its disk had failed.
     ///
     /// # Errors
     /// As [`Voter::new`].
@@ -128,11 +128,11 @@
         Ok(())
     }
 
-    /// Chooses anew whom this process connects to. A voter connects to those after it by name, so that each pair of
-    /// voters has one connection; any other process to any one voter.
+    /// Replaces the dialer according to this process's role. A voter connects to all voters with a later name, so that
+    /// each pair of voters has one connection; any other process connects to one voter.
     fn restart_dialer(&mut self, now: TenthMillis) {
-        let takes_part = self.voter.is_some() && !self.is_stopped();
-        let mode = if takes_part {
+        let is_running = self.voter.is_some() && !self.is_stopped();
+        let mode = if is_running {
             DialMode::All
         } else {
             DialMode::AnyOne
@@ -146,29 +146,29 @@
         self.dialer = Dialer::new(targets.cloned(), mode, self.rng.rand_u64(), now);
     }
 
-    /// It is a voter whose disk has failed: see [`Fleet::open_voter`].
+    /// Reports whether this process is a voter whose disk has failed; [`Fleet::open_voter`] opens it again.
     pub fn is_stopped(&self) -> bool {
         matches!(self.stage(), Some(Stage::Stopped(_)))
     }
 
-    /// How far the voter here has come; `None` where there is none.
+    /// Returns the stage of this process's voter; `None` if it has none.
     pub fn stage(&self) -> Option<Stage> {
         self.voter.as_ref().map(Voter::stage)
     }
 
-    /// The voter here, where there is one.
+    /// Returns this process's voter, if it has one.
     pub fn voter(&self) -> Option<&Voter<F>> {
         self.voter.as_ref()
     }
 
-    /// Whether this process leads, and nobody else does at this moment.
+    /// Reports whether this process is the leader, under a lease that excludes any other leader at `now`.
     pub fn is_leader(&self, now: TenthMillis) -> bool {
         self.voter
             .as_ref()
             .is_some_and(|voter| voter.is_leader(now))
     }
 
-    /// The leader, as far as it is known here.
+    /// Returns the leader, if this process is an active voter and knows one.
     pub fn leader(&self) -> Option<Leader<'_>> {
         let voter = self.voter.as_ref()?;
         let name = voter.leader()?;
@@ -176,12 +176,12 @@
         Some(Leader { name, term })
     }
 
-    /// All others that are believed to be alive.
+    /// Returns all other members that are considered alive.
     pub fn alive(&self) -> impl Iterator<Item = &NodeIdentity> {
         self.members.alive()
     }
 
-    /// The replicated state as it is known here.
+    /// Returns this process's copy of the replicated state, which may be out of date.
     pub fn table(&self) -> &StateTable {
         match &self.voter {
             Some(voter) if voter.stage() == Stage::Active => voter.table(),
@@ -189,12 +189,12 @@
         }
     }
 
-    /// Datagrams, frames and connections that were refused so far.
+    /// Returns the number of datagrams, frames and connections that were refused so far.
     pub fn refused(&self) -> u64 {
         self.refused
     }
 
-    /// When [`Fleet::wake`] is to be called at the latest.
+    /// Returns the time by which [`Fleet::wake`] must be called.
     pub fn wake_at(&self) -> TenthMillis {
         let voter = self.voter.as_ref().map(Voter::wake_at);
         let connections = self.connections.values().map(Connection::wake_at);
@@ -206,7 +206,7 @@
             .unwrap_or(TenthMillis::MAX)
     }
 
-    /// Does all that is due.
+    /// Performs everything that is due.
     pub fn wake(&mut self, now: TenthMillis, actions: &mut Vec<FleetAction>) {
         let mut requested = Vec::new();
         if let Some(voter) = &mut self.voter
@@ -222,7 +222,7 @@
         self.check_connections(now, actions);
     }
 
-    /// A datagram was received. One that is refused changes nothing, and is counted.
+    /// Handles a received datagram. One that is refused is counted and otherwise ignored.
     pub fn on_datagram(&mut self, now: TenthMillis, bytes: &[u8], actions: &mut Vec<FleetAction>) {
         let mut requested = Vec::new();
         let result = self.members.on_datagram(now, bytes, &mut requested);
@@ -230,7 +230,7 @@
         actions.extend(requested.into_iter().map(member_action));
     }
 
-    /// Leaves for good.
+    /// Leaves the membership permanently, and notifies the other members.
     pub fn leave(&mut self, now: TenthMillis, actions: &mut Vec<FleetAction>) {
         let mut requested = Vec::new();
         self.members.leave(now, &mut requested);
--- a/crates/linenthread-fleet/src/fleet/replication.rs
+++ b/crates/linenthread-fleet/src/fleet/replication.rs
@@ -1,4 +1,4 @@
-//! The replicated state: frames of peers that have proven themselves, what the voter here requests, and proposals.
+//! Replication: frames on established connections, the actions of this process's voter, proposals and reports.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_store::Files;
@@ -45,19 +45,20 @@
         }
     }
 
-    /// A voter tells this process what is committed. Where it takes part as a voter itself, its own one reports that.
+    /// Handles a committed value from a voter. It is not reported if this process's own voter is active, which reports
+    /// it itself.
     fn on_committed_elsewhere(
         &mut self,
         committed: CommittedValue,
         actions: &mut Vec<FleetAction>,
     ) {
-        let is_newer = self.table.learn(&committed);
+        let is_newer = self.table.update_if_newer(&committed);
         if is_newer && self.stage() != Some(Stage::Active) {
             actions.push(FleetAction::Committed(committed));
         }
     }
 
-    /// A connection with another voter is established.
+    /// Notifies this process's voter of an established connection with another voter.
     pub(super) fn on_voter_connected(&mut self, peer: &str, actions: &mut Vec<FleetAction>) {
         if let Some(voter) = &mut self.voter {
             let mut requested = Vec::new();
@@ -66,16 +67,15 @@
         }
     }
 
-    /// A follower gets all that is committed, and from then on what is new.
+    /// Sends all committed values to a follower that has just connected; later ones follow as they are committed.
     pub(super) fn send_all_values(&self, id: ConnectionId, actions: &mut Vec<FleetAction>) {
         for committed in self.table().committed_values() {
             write(id, &Frame::Committed(committed), actions);
         }
     }
 
-    /// Sends a report on its way to the leader; where that is this process, it comes back as
-    /// [`FleetAction::Report`]. It may be lost: reports are sent again. One that is longer than
-    /// [`MAX_REPORT_BYTES`] is dropped.
+    /// Sends a report towards the leader; if this process is the leader, returns it as [`FleetAction::Report`]. A
+    /// report may be lost, so the caller must repeat it. One that is longer than [`MAX_REPORT_BYTES`] is dropped.
     pub fn report(&mut self, bytes: Vec<u8>, actions: &mut Vec<FleetAction>) {
         if bytes.len() > MAX_REPORT_BYTES {
             return;
@@ -87,7 +87,7 @@
                 return actions.push(FleetAction::Report { from, bytes });
             }
             Some(leader) => self.established.get(leader),
-            // A follower has one connection, to any voter, whose program passes the report on.
+            // A follower has one connection, to any voter, whose caller forwards the report to the leader.
             None if self.voter.is_none() || self.is_stopped() => self.established.values().next(),
             None => None,
         };
@@ -96,10 +96,10 @@
         }
     }
 
-    /// As [`Voter::propose`](crate::Voter::propose).
+    /// Proposes a write: see [`Voter::propose`](crate::Voter::propose).
     ///
     /// # Errors
-    /// As there, and [`ProposeError::NotVoter`] where there is no voter here.
+    /// As [`Voter::propose`](crate::Voter::propose), and [`ProposeError::NotVoter`] if this process has no voter.
     pub fn propose(
         &mut self,
         now: TenthMillis,
@@ -113,7 +113,7 @@
         result
     }
 
-    /// Performs what the voter requests.
+    /// Performs the voter's actions.
     pub(super) fn perform(&mut self, requested: Vec<VoterAction>, actions: &mut Vec<FleetAction>) {
         for action in requested {
             match action {
@@ -128,10 +128,10 @@
         }
     }
 
-    /// Passes a committed value on to the followers and to the caller.
+    /// Forwards a committed value to the followers and to the caller.
     fn on_committed(&mut self, committed: CommittedValue, actions: &mut Vec<FleetAction>) {
-        // For the time after this voter's disk has failed: until then its own table counts.
-        self.table.learn(&committed);
+        // Used once this voter's disk has failed; until then `Fleet::table` returns the voter's own table.
+        self.table.update_if_newer(&committed);
         let frame = Frame::Committed(committed.clone());
         for (&id, connection) in &self.connections {
             if connection.is_follower() {
@@ -141,7 +141,7 @@
         actions.push(FleetAction::Committed(committed));
     }
 
-    /// As [`Fleet::perform`]; and a voter whose disk has failed meanwhile becomes a follower.
+    /// Performs the voter's actions. If its disk has failed meanwhile, this process becomes a follower.
     pub(super) fn perform_and_check_disk(
         &mut self,
         requested: Vec<VoterAction>,
@@ -151,10 +151,10 @@
         if requested.is_empty() {
             return;
         }
-        let steps_down = self.is_stopped() && self.dialer.mode() == DialMode::All;
+        let has_failed = self.is_stopped() && self.dialer.mode() == DialMode::All;
         self.perform(requested, actions);
-        if steps_down {
-            // The others are to learn what it is now from new connections.
+        if has_failed {
+            // The new connections announce its new role to the other processes.
             let established: Vec<ConnectionId> = self.established.values().copied().collect();
             for id in established {
                 self.close(id, "this voter's disk has failed", actions);
--- a/crates/linenthread-fleet/src/frame/handshake.rs
+++ b/crates/linenthread-fleet/src/frame/handshake.rs
@@ -1,4 +1,4 @@
-//! The frames with which both sides prove the shared secret.
+//! Handshake frames, with which both sides of a connection prove that they know the shared secret.
 
 use linenthread_frames::{
     Decoder, Encoder, Nonce, Proof, ProofDomain, SecretIndex, Secrets, without_proof,
@@ -7,16 +7,16 @@
 use super::Frame;
 use crate::error::RecordError;
 
-/// Domains of the proofs of the side that connects and of the one that accepts. These bytes go into the proof.
+/// Proof domains of the connecting and the accepting side. The proofs cover these bytes.
 const CONNECTING: ProofDomain = *b"linenthread dial";
 const ACCEPTING: ProofDomain = *b"linenthread take";
 
-/// What a process is in a connection.
+/// The role of a process in a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// A voter: it may send progress, Raft's messages and committed values.
+    /// A voter, which may send progress, Raft messages and committed values.
     Voter,
-    /// Any other process: it is sent what is committed.
+    /// Any other process, which receives committed values.
     Follower,
 }
 
@@ -37,15 +37,15 @@
 /// The first frame of the side that connects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hello {
-    /// The protocol version that it has chosen.
+    /// The protocol version that it uses.
     pub version: u8,
     /// Its name.
     pub name: String,
-    /// As what it connects.
+    /// Its role.
     pub role: Role,
-    /// What the welcome has to prove itself over.
+    /// The nonce that the welcome's proof must cover.
     pub nonce: Nonce,
-    /// Proves the shared secret.
+    /// Proves knowledge of the shared secret.
     pub proof: Proof,
 }
 
@@ -68,13 +68,13 @@
         })
     }
 
-    /// Sets the proof for a peer that has sent this nonce.
+    /// Computes the proof over the hello and the nonce in the peer's challenge.
     pub(crate) fn prove(&mut self, secrets: &Secrets, nonce: &Nonce) {
         let transcript = without_proof(Frame::Hello(self.clone()).encode());
         self.proof = secrets.prove(SecretIndex::FIRST, CONNECTING, nonce, &transcript);
     }
 
-    /// Which secret the proof was made with; `None` if it proves nothing.
+    /// Returns which secret the proof was made with; `None` if it is invalid.
     pub(crate) fn verify(&self, secrets: &Secrets, nonce: &Nonce) -> Option<SecretIndex> {
         let transcript = without_proof(Frame::Hello(self.clone()).encode());
         secrets.verify(CONNECTING, nonce, &transcript, &self.proof)
@@ -82,20 +82,20 @@
 }
 
 impl Frame {
-    /// A welcome, proven over the hello's nonce with the secret that the hello used.
+    /// Creates a welcome whose proof covers the hello's nonce and is made with the secret that the hello used.
     pub(crate) fn proven_welcome(secrets: &Secrets, secret: SecretIndex, nonce: &Nonce) -> Frame {
         let proof = secrets.prove(secret, ACCEPTING, nonce, &welcome_transcript());
         Frame::Welcome { proof }
     }
 
-    /// Whether a welcome's proof was made with one of the secrets.
+    /// Reports whether a welcome's proof was made with one of the secrets.
     pub(crate) fn verifies_welcome(secrets: &Secrets, nonce: &Nonce, proof: &Proof) -> bool {
         let secret = secrets.verify(ACCEPTING, nonce, &welcome_transcript(), proof);
         secret.is_some()
     }
 }
 
-/// A welcome proves itself over its own bytes, which are only its kind and length.
+/// Returns the bytes of a welcome that its proof covers: only its length and kind.
 fn welcome_transcript() -> Vec<u8> {
     let proof = Proof::default();
     without_proof(Frame::Welcome { proof }.encode())
--- a/crates/linenthread-fleet/src/frame/mod.rs
+++ b/crates/linenthread-fleet/src/frame/mod.rs
@@ -1,4 +1,4 @@
-//! The messages between two processes of a fleet; byte by byte in `docs/fleet.md`.
+//! The messages between two processes of a fleet, specified in `docs/fleet.md`.
 
 mod handshake;
 mod progress;
@@ -15,14 +15,14 @@
 pub use progress::Progress;
 pub(crate) use raft_message::{decode_entry, decode_snapshot, encode_entry, encode_snapshot};
 
-/// The protocol version that this package speaks.
+/// The protocol version that this package implements.
 pub const VERSION: u8 = 1;
-/// The longest frame in bytes; a longer one ends the connection.
+/// Maximum length of a frame, in bytes; a longer one ends the connection.
 pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
-/// The longest report in bytes.
+/// Maximum length of a report, in bytes.
 pub const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// The byte of a frame that says what it is.
+/// Values of a frame's kind byte.
 mod kind {
     pub(super) const CHALLENGE: u8 = 1;
     pub(super) const HELLO: u8 = 2;
@@ -39,53 +39,53 @@
 /// One message of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// The first frame of the side that accepts.
+    /// The first frame of the accepting side.
     Challenge {
-        /// The lowest version that it speaks.
+        /// The lowest version that it supports.
         min_version: u8,
-        /// The highest one.
+        /// The highest version that it supports.
         max_version: u8,
-        /// What the hello has to prove itself over.
+        /// The nonce that the hello's proof must cover.
         nonce: Nonce,
         /// Its name.
         name: String,
     },
     /// The reply to the challenge.
     Hello(Hello),
-    /// The reply to the hello; the connection is established.
+    /// The reply to the hello, which establishes the connection.
     Welcome {
-        /// Proves the shared secret.
+        /// Proves knowledge of the shared secret.
         proof: Proof,
     },
-    /// From either: its sender closes the connection.
+    /// From either side: the sender closes the connection.
     Refuse {
         /// Why, for the peer's log.
         reason: String,
     },
-    /// Between voters: how far the sender has come.
+    /// Between voters: the sender's progress towards participating in Raft.
     Progress {
-        /// How far.
+        /// The sender's progress.
         progress: Progress,
-        /// The incarnation of its identity; a founder's where it has no identity.
+        /// The incarnation of the sender's identity; a founder's if it has no identity yet.
         incarnation: VoterIncarnation,
-        /// A digest of the founders' names, as the sender is configured.
+        /// Digest of the founders' names in the sender's configuration.
         founders: FoundersDigest,
     },
-    /// Between voters: a message of Raft.
+    /// Between voters: a Raft message.
     Raft(Box<Message>),
-    /// From a voter to a process that is none: a committed value.
+    /// From a voter to a follower: a committed value.
     Committed(CommittedValue),
-    /// A report on its way to the leader.
+    /// A report for the leader.
     Report {
         /// The report.
         bytes: Vec<u8>,
     },
-    /// Asks for a [`Frame::Pong`].
+    /// Requests a [`Frame::Pong`].
     Ping {
-        /// Repeated in the pong.
+        /// The number that the pong repeats.
         number: u64,
     },
-    /// The answer to a [`Frame::Ping`].
+    /// The reply to a [`Frame::Ping`].
     Pong {
         /// The ping's number.
         number: u64,
@@ -93,7 +93,7 @@
 }
 
 impl Frame {
-    /// The encoded frame, its length first.
+    /// Encodes the frame, preceded by its length.
     pub fn encode(&self) -> Vec<u8> {
         encode_frame(self.kind(), |encoder| self.encode_fields(encoder))
     }
@@ -150,10 +150,10 @@
         }
     }
 
-    /// The frame of these fields, its kind first and without its length.
+    /// Decodes a frame from its kind and fields, without the length.
     ///
     /// # Errors
-    /// The fields are no frame.
+    /// The bytes are not a valid frame.
     pub fn decode(fields: &[u8]) -> Result<Frame, RecordError> {
         let mut decoder = Decoder::new(fields);
         let frame = match decoder.u8()? {
@@ -196,10 +196,10 @@
         Ok(frame)
     }
 
-    /// Removes all complete frames from the buffer and hands them to `handle` in their order; an incomplete one stays.
+    /// Removes all complete frames from the buffer and passes them to `handle` in order; an incomplete one stays.
     ///
     /// # Errors
-    /// The bytes are no frame; those before it were handed over.
+    /// A frame is invalid; those before it have been passed to `handle`.
     pub fn drain(buffer: &mut Vec<u8>, mut handle: impl FnMut(Frame)) -> Result<(), RecordError> {
         drain_frames(buffer, MAX_FRAME_BYTES, |fields| {
             handle(Frame::decode(fields)?);
--- a/crates/linenthread-fleet/src/frame/progress.rs
+++ b/crates/linenthread-fleet/src/frame/progress.rs
@@ -1,24 +1,24 @@
-//! How far a voter has come, as it tells the others.
+//! A voter's progress, as reported to the other voters.
 
 use linenthread_frames::{Decoder, Encoder};
 use snafu::OptionExt;
 
 use crate::error::{RecordError, UnknownProgressSnafu};
 
-/// How far a voter has come.
+/// A voter's progress towards participating in Raft.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// Its disk is empty, and it has no identity yet.
     Empty,
-    /// It is a founder of the fleet and waits until all others are founders too.
+    /// It is a founder of the fleet and waits until all other voters are founders too.
     Founded,
-    /// It takes part in Raft.
+    /// It participates in Raft.
     Active,
-    /// Its disk has failed: what it holds is unknown.
+    /// Its disk has failed, so the disk's contents are unknown.
     Stopped,
 }
 
-/// A voter's progress by its number in a frame.
+/// The values by their code in a frame.
 const PROGRESSES: [Progress; 4] = [
     Progress::Empty,
     Progress::Founded,
--- a/crates/linenthread-fleet/src/frame/raft_message.rs
+++ b/crates/linenthread-fleet/src/frame/raft_message.rs
@@ -1,4 +1,4 @@
-//! Raft's messages, entries and snapshots as fields, for frames and for records on disk.
+//! Encoding of Raft's messages, entries and snapshots, in frames and in records on disk.
 
 use linenthread_frames::{DecodeError, Decoder, Encoder};
 use raft::eraftpb::{Entry, EntryType, Message, MessageType, Snapshot};
@@ -6,12 +6,12 @@
 
 use crate::error::{ContextTooLongSnafu, RecordError, TooManyEntriesSnafu, UnknownMessageSnafu};
 
-/// The most entries of one message.
+/// Maximum number of entries in a message.
 const MAX_ENTRIES: u16 = 4_096;
-/// The longest context of a message, in bytes.
+/// Maximum length of a message's context, in bytes.
 const MAX_CONTEXT_BYTES: usize = 256;
 
-/// The messages that voters send each other, by their number in a frame; others are not accepted.
+/// The types of messages between voters, by their code in a frame; others are not accepted.
 const MESSAGE_TYPES: [MessageType; 10] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
@@ -24,7 +24,7 @@
     MessageType::MsgRequestPreVoteResponse,
     MessageType::MsgUnreachable,
 ];
-/// Stands for a message that is not in the list; no receiver accepts it.
+/// The code of all types that are not in the list; no receiver accepts it.
 const NO_MESSAGE_TYPE: u8 = 10;
 
 fn message_code(msg_type: MessageType) -> u8 {
--- a/crates/linenthread-fleet/src/identifiers.rs
+++ b/crates/linenthread-fleet/src/identifiers.rs
@@ -1,38 +1,39 @@
-//! Numbers that mean something, each of a type of its own.
+//! Identifiers and counters, each as a type of its own.
 
 use std::fmt;
 
-/// A connection of this process; numbered here, and not sent to the peer.
+/// Number of a connection, local to this process: it is not sent to the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// A term of Raft, in which one voter leads at most.
+/// A term of Raft, in which at most one voter leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Term(pub u64);
 
-/// The position of an entry in Raft's log, from 1.
+/// Index of an entry in Raft's log, from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogIndex(pub u64);
 
-/// Tells two starts of one process apart: it rises with each start.
+/// Distinguishes the starts of a process: it increases with each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProcessIncarnation(pub u64);
 
-/// Tells two disks of one voter apart: a voter that finds its disk empty draws a new one. It survives restarts.
+/// Distinguishes the disks of a voter: a voter whose disk is empty draws a new random incarnation. It is stored on the
+/// disk and survives restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VoterIncarnation(pub u64);
 
-/// A digest of the founders' names: two processes with different ones are configured with different voters.
+/// Digest of the founders' names. Processes with different digests are configured with different voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FoundersDigest(pub u64);
 
 impl Term {
-    /// Of a voter that takes no part in Raft.
+    /// The term of a voter that does not participate in Raft.
     pub const NONE: Term = Term(0);
 }
 
 impl VoterIncarnation {
-    /// Of a founder, which is the only identity that is not drawn.
+    /// The incarnation of a founder, the only one that is not drawn at random.
     pub const FOUNDER: VoterIncarnation = VoterIncarnation(0);
 }
 
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -1,16 +1,16 @@
-//! How many processes act as one fleet: who is a member and alive, and a small state that is replicated to all.
+//! Membership and replicated state of a fleet of processes.
 //!
-//! [`Fleet`] is one process's part in it, a state machine without I/O or clock: events and the time go in, actions
-//! come out, and all that is random depends on a seed. It consists of [`Members`], gossip with suspicion (SWIM, by
-//! `foca`), and [`Voter`], the replicated state among 3, 5 or 7 voters (Raft, by `raft`), whose disk is a log of
-//! `linenthread-store`. All other processes follow what the voters commit. The state holds numbered values by topic:
-//! a write names the number that it is based on, so that no two values ever have one number. This package must not
-//! know what a value means.
+//! [`Fleet`] is one process of the fleet, a state machine without I/O or clock: it is passed events and the time, and
+//! returns actions; all randomness is derived from a seed. It consists of [`Members`], membership by gossip with
+//! suspicion (SWIM, by `foca`), and [`Voter`], a state replicated among 3, 5 or 7 voters (Raft, by `raft`) with its
+//! disk in a log of `linenthread-store`. All other processes are followers, which receive the values that the voters
+//! commit. The state holds numbered values by topic: each write names the number of the value that it is based on, so
+//! that no two values have the same topic and number. The contents of a value must not matter to this package.
 //!
-//! Start reading at [`Fleet`]; `voter` has the table of a voter's stages. The messages are in [`frame`], and byte by
-//! byte in `docs/fleet.md`.
+//! Start reading at [`Fleet`]; `voter` has the table of a voter's stages. The messages are defined in [`frame`] and
+//! specified in `docs/fleet.md`.
 //!
-//! The way of a value, from its proposal to all processes:
+//! The path of a value from its proposal to all processes:
 //!
 //! | step | at | where |
 //! | --- | --- | --- |
@@ -19,13 +19,13 @@
 //! | checked, appended, synced, acknowledged | each other voter | `voter/message_check.rs`, then `voter/ready.rs` |
 //! | committed: on the disks of a majority | the leader, then all voters | Raft |
 //! | applied, where it is still based on the current value | each voter | `voter/ready.rs`, [`StateTable`] |
-//! | passed on | each voter, to its followers | `fleet/replication.rs` |
+//! | forwarded | each voter, to its followers | `fleet/replication.rs` |
 //! | reported as [`FleetAction::Committed`] | each process | the caller |
 //!
-//! Invariants, checked by the simulation of fleets: *one-value-per-number* (no two values under one topic and number),
-//! *committed-lasts* (what was reported as committed is never undone while a majority of voters has its disks),
-//! *one-leader* (at no moment do two processes hold the lease), *new-disk-new-identity* (a voter that lost its disk never votes
-//! under its former identity).
+//! Invariants, checked by the simulation of fleets: *one-value-per-number* (no two values have the same topic and
+//! number), *committed-lasts* (a value that was reported as committed is never undone while a majority of voters has
+//! its disks), *one-leader* (at no moment do two processes hold the lease), *new-disk-new-identity* (a voter that lost
+//! its disk never votes under its former identity).
 
 mod config;
 mod dialer;
--- a/crates/linenthread-fleet/src/members/codec.rs
+++ b/crates/linenthread-fleet/src/members/codec.rs
@@ -1,4 +1,4 @@
-//! The bytes of gossip.
+//! Encoding of gossip messages for foca.
 
 use std::collections::BTreeSet;
 
@@ -10,10 +10,10 @@
 use crate::NodeIdentity;
 use crate::error::{RecordError, TooManyNamesSnafu, UnknownGossipSnafu, UnknownMemberStateSnafu};
 
-/// The most names that are ever accepted, those of members that are down included.
+/// Maximum number of distinct names that are ever accepted, including those of members that are down.
 const MAX_NAMES: usize = 4_096;
 
-/// The byte that says which message it is.
+/// Values of a message's kind byte.
 mod kind {
     pub(super) const PING: u8 = 1;
     pub(super) const ACK: u8 = 2;
@@ -28,7 +28,7 @@
     pub(super) const TURN_UNDEAD: u8 = 11;
 }
 
-/// The byte that says in which state a member is.
+/// Values of a member's state byte.
 mod state {
     pub(super) const ALIVE: u8 = 1;
     pub(super) const SUSPECT: u8 = 2;
@@ -44,7 +44,7 @@
     DatagramFull,
 }
 
-/// Encodes and decodes gossip. It remembers all names so far, to bound how many there are.
+/// Encodes and decodes gossip. It keeps all names that it has accepted, in order to limit their number.
 #[derive(Default)]
 pub(super) struct GossipCodec {
     names: BTreeSet<String>,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Decodes one item off the buffer's front.
+/// Decodes one item at the start of the buffer, and advances the buffer past it.
 fn decode_item<T>(
     mut buffer: impl Buf,
     decode: impl FnOnce(&mut Decoder) -> Result<T, RecordError>,
@@ -72,7 +72,7 @@
     Ok(item)
 }
 
-/// Appends an item, where the datagram has space for it.
+/// Appends an item; fails if the datagram has no space for it.
 fn encode_item(mut buffer: impl BufMut, item: Encoder) -> Result<(), CodecError> {
     let bytes = item.into_bytes();
     ensure!(buffer.remaining_mut() >= bytes.len(), DatagramFullSnafu);
--- a/crates/linenthread-fleet/src/members/mod.rs
+++ b/crates/linenthread-fleet/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Who is a member and alive: gossip with suspicion and refutation, over datagrams that prove the secret.
+//! Membership by gossip with suspicion and refutation (SWIM), over authenticated datagrams.
 
 mod codec;
 mod runtime;
@@ -13,37 +13,38 @@
 use snafu::{OptionExt, ResultExt};
 
 use crate::config::{MembersConfig, PeerAddress};
-use crate::error::{DatagramError, GossipSnafu, TooShortSnafu, UnprovenSnafu};
+use crate::error::{DatagramError, GossipSnafu, TooShortSnafu, UnauthenticatedSnafu};
 use crate::node_identity::NodeIdentity;
 use crate::random::{random_index, random_time};
 use codec::GossipCodec;
 use runtime::{Gossip, GossipRng, Requests, Timers, gossip_config};
 
-/// The domain of the proofs of datagrams. These bytes go into the proof.
+/// Proof domain of datagrams. The proofs cover these bytes.
 const GOSSIP: ProofDomain = *b"linenthread goss";
 const PROOF_BYTES: usize = size_of::<Proof>();
-/// How often a member is asked for all others while none is known; up to half as much is added at random.
+/// Interval of announcements, to which a member replies with the list of all others, while no other member is known. Up
+/// to half of it is added at random.
 const JOIN_INTERVAL: TenthMillis = 10_000;
-/// The same once others are known.
+/// The same interval while other members are known.
 const REFRESH_INTERVAL: TenthMillis = 40_000;
-/// The first time is random, no later than this after the start.
+/// The first announcement follows at a random time no later than this after the start.
 const MAX_JOIN_DELAY: TenthMillis = 500;
 
-/// What the caller has to do, in order.
+/// What the caller has to do or is notified of, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembersAction {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// The address to send it to.
         to: SocketAddr,
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// A member is alive, or has come back under another identity.
+    /// A member is alive, or has returned under a new identity.
     Up(NodeIdentity),
     /// A member is down or has left.
     Down(NodeIdentity),
-    /// This process was declared down, and has refuted it.
+    /// This process was declared down by other members and has refuted it.
     Refuted,
 }
 
@@ -51,20 +52,20 @@
 pub struct Members {
     gossip: Gossip,
     secrets: Secrets,
-    /// Members that are asked for all others at first, without this process.
+    /// Members to announce to in order to join, without this process.
     seeds: Vec<PeerAddress>,
     rng: Rand64,
     timers: Timers,
-    /// All others that are believed to be alive, by name.
+    /// All other members that are considered alive, by name.
     alive: BTreeMap<String, NodeIdentity>,
-    /// When a member is next asked for all others.
+    /// Time of the next announcement.
     announce_at: TenthMillis,
-    /// This process has left: nothing is sent or received any more.
+    /// This process has left: it neither sends nor accepts gossip any more.
     left: bool,
 }
 
 impl Members {
-    /// Joins.
+    /// Joins the membership; the first announcement is sent by [`Members::wake`].
     pub fn new(config: MembersConfig, now: TenthMillis) -> Members {
         let gossip_config = gossip_config(&config);
         let mut rng = Rand64::new(u128::from(config.random_seed));
@@ -85,22 +86,22 @@
         }
     }
 
-    /// All others that are believed to be alive.
+    /// Returns all other members that are considered alive.
     pub fn alive(&self) -> impl Iterator<Item = &NodeIdentity> {
         self.alive.values()
     }
 
-    /// This process, under its current identity.
+    /// Returns this process's current identity, which changes when it refutes that it is down.
     pub fn local(&self) -> &NodeIdentity {
         self.gossip.identity()
     }
 
-    /// When [`Members::wake`] is to be called at the latest.
+    /// Returns the time by which [`Members::wake`] must be called.
     pub fn wake_at(&self) -> TenthMillis {
         self.timers.next_deadline().min(self.announce_at)
     }
 
-    /// Does what is due.
+    /// Performs everything that is due.
     pub fn wake(&mut self, now: TenthMillis, actions: &mut Vec<MembersAction>) {
         if self.announce_at <= now {
             self.announce(now, actions);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Asks a member for all others.
+    /// Announces this process to a member, which replies with the list of all others.
     fn announce(&mut self, now: TenthMillis, actions: &mut Vec<MembersAction>) {
         let interval = if self.alive.is_empty() {
             JOIN_INTERVAL
@@ -132,9 +133,10 @@
         }
     }
 
-    /// Whom to ask for all others: a seed that is missing, so that two halves that have declared each other down meet
-    /// again there. Where none is missing, any member: one that had to renew its identity may not be accepted by
-    /// those it knows, and foca's own timers rest until it receives something.
+    /// Selects the member to announce to: a random seed that is not known to be alive, so that two partitions that have
+    /// declared each other down merge again. If all seeds are alive, a random member: after this process had
+    /// to renew its identity, the members that it knows may not accept it, and foca's own timers do not run until it
+    /// receives something.
     fn announce_target(&mut self) -> Option<NodeIdentity> {
         let is_missing = |seed: &&PeerAddress| !self.alive.contains_key(&seed.name);
         let mut candidates: Vec<NodeIdentity> = self
@@ -153,10 +155,10 @@
         candidates.into_iter().nth(index)
     }
 
-    /// Handles a datagram. One that is not accepted changes nothing.
+    /// Handles a datagram. One that is rejected changes nothing.
     ///
     /// # Errors
-    /// Why it was not accepted.
+    /// The datagram is not authenticated, or foca rejects it.
     pub fn on_datagram(
         &mut self,
         now: TenthMillis,
@@ -168,14 +170,14 @@
             .context(TooShortSnafu)?;
         self.secrets
             .verify(GOSSIP, &[], message, proof)
-            .context(UnprovenSnafu)?;
+            .context(UnauthenticatedSnafu)?;
         if self.left {
             return Ok(());
         }
         let mut result = Ok(());
         self.run(now, actions, |gossip, requests| {
             result = match gossip.handle_data(message, requests) {
-                // Sent to a former identity of this process, or by itself: nothing is wrong with it.
+                // Sent by this process under its current or a former identity: not an error.
                 Err(foca::Error::DataFromOurselves) => Ok(()),
                 other => other,
             };
@@ -184,7 +186,7 @@
         result.context(GossipSnafu)
     }
 
-    /// Leaves for good: the others are notified and need not find out.
+    /// Leaves permanently, and notifies the other members, so that they need not detect it by probing.
     pub fn leave(&mut self, now: TenthMillis, actions: &mut Vec<MembersAction>) {
         if !self.left {
             self.run(now, actions, |gossip, requests| {
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Calls foca and does what it requests.
+    /// Calls foca and performs its requests.
     fn run(
         &mut self,
         now: TenthMillis,
@@ -202,7 +204,7 @@
         call: impl FnOnce(&mut Gossip, &mut Requests) -> Result<(), foca::Error>,
     ) {
         let mut requests = Requests::default();
-        // What foca cannot do it leaves undone; its timers go on by themselves.
+        // An error means that foca did not complete the call; its timers are not affected.
         let _ = call(&mut self.gossip, &mut requests);
         for (to, mut bytes) in requests.datagrams {
             let proof = self.secrets.prove(SecretIndex::FIRST, GOSSIP, &[], &bytes);
@@ -220,8 +222,8 @@
         }
     }
 
-    /// Compares with the members before. foca's notifications may be out of date by the end of a call: what counts is
-    /// who is there now.
+    /// Reports the difference between the members before and after a call. foca's notifications are not used for this,
+    /// since they may be out of date by the end of the call.
     fn update_alive(&mut self, actions: &mut Vec<MembersAction>) {
         let members = self.gossip.iter_members();
         let alive: BTreeMap<String, NodeIdentity> = members
--- a/crates/linenthread-fleet/src/members/runtime.rs
+++ b/crates/linenthread-fleet/src/members/runtime.rs
@@ -1,4 +1,4 @@
-//! What foca needs around it: its settings, random numbers, timers, and a place for what it requests.
+//! Environment of foca: its configuration, random numbers, timers and collected requests.
 
 use std::cmp::Reverse;
 use std::collections::binary_heap::PeekMut;
@@ -17,17 +17,17 @@
 use crate::config::MembersConfig;
 use crate::node_identity::NodeIdentity;
 
-/// The longest datagram in bytes, without its proof: it fits an Ethernet frame.
+/// Maximum length of a datagram without its proof, in bytes: it fits an Ethernet frame.
 const MAX_DATAGRAM_BYTES: usize = 1_300;
-/// The probe interval that foca's own defaults are meant for.
+/// The probe interval, in tenths of a millisecond, that foca's default times assume.
 const DEFAULT_PROBE_INTERVAL: f64 = 10_000.0;
-/// Members that are down get the list of the others once in so many probe intervals.
+/// Number of probe intervals between announcements to members that are down.
 const DOWN_ANNOUNCE_INTERVALS: TenthMillis = 10;
 
-/// foca, with our identities and bytes, and without broadcasts of its users' own.
+/// foca with the fleet's identities and encoding, and without custom broadcasts.
 pub(super) type Gossip = Foca<NodeIdentity, GossipCodec, GossipRng, foca::NoCustomBroadcast>;
 
-/// foca's random numbers, from a seed.
+/// Random number generator for foca, from a seed.
 pub(super) struct GossipRng(pub(super) Rand64);
 
 impl TryRng for GossipRng {
@@ -50,7 +50,7 @@
     }
 }
 
-/// What foca requests, collected while it is called.
+/// foca's requests and notifications, collected during a call.
 #[derive(Default)]
 pub(super) struct Requests {
     pub(super) datagrams: Vec<(SocketAddr, Vec<u8>)>,
@@ -79,11 +79,12 @@
     }
 }
 
-/// foca's timers, which expire in the order of their times, and those of one time in the order in which they were set.
+/// foca's timers. They expire in the order of their deadlines; those with the same deadline, in the order in which they
+/// were set.
 #[derive(Default)]
 pub(super) struct Timers {
     deadlines: BinaryHeap<Reverse<(TenthMillis, u64)>>,
-    /// By number: foca's timers have no order.
+    /// By number, because foca's timers are not ordered.
     pending: BTreeMap<u64, Timer<NodeIdentity>>,
     last_number: u64,
 }
@@ -92,17 +93,17 @@
     pub(super) fn set(&mut self, now: TenthMillis, after: Duration, timer: Timer<NodeIdentity>) {
         self.last_number += 1;
         self.pending.insert(self.last_number, timer);
-        let deadline = now + tenth_millis(after);
+        let deadline = now + to_tenth_millis(after);
         self.deadlines.push(Reverse((deadline, self.last_number)));
     }
 
-    /// When the next one expires.
+    /// Returns when the next timer expires.
     pub(super) fn next_deadline(&self) -> TenthMillis {
         let next = self.deadlines.peek();
         next.map_or(TenthMillis::MAX, |Reverse((at, _))| *at)
     }
 
-    /// Removes the next one that has expired.
+    /// Removes and returns the next timer that has expired.
     pub(super) fn pop_expired(&mut self, now: TenthMillis) -> Option<Timer<NodeIdentity>> {
         let next = self.deadlines.peek_mut()?;
         let Reverse((deadline, _)) = *next;
@@ -114,30 +115,30 @@
     }
 }
 
-/// At least the smallest unit, so that no interval is 0.
-fn duration(tenth_millis: TenthMillis) -> Duration {
+/// Converts to a duration of at least one unit, so that no interval is 0.
+fn to_duration(tenth_millis: TenthMillis) -> Duration {
     tenth_millis_to_duration(tenth_millis.max(1))
 }
 
-/// At least the smallest unit, so that no timer is due at once.
-fn tenth_millis(duration: Duration) -> TenthMillis {
+/// Converts to at least one unit, so that no timer is due immediately.
+fn to_tenth_millis(duration: Duration) -> TenthMillis {
     duration_to_tenth_millis(duration).max(1)
 }
 
-/// foca's defaults for a local network, with its times in proportion to our probe interval.
+/// Returns foca's defaults for a local network, with its times scaled to the configured probe interval.
 pub(super) fn gossip_config(config: &MembersConfig) -> foca::Config {
     let expected = NonZeroU32::new(config.expected_members.max(2)).unwrap_or(NonZeroU32::MIN);
     let mut gossip = foca::Config::new_lan(expected);
     let interval = config.probe_interval;
-    let slower = interval as f64 / DEFAULT_PROBE_INTERVAL;
-    gossip.probe_period = duration(interval);
-    gossip.probe_rtt = duration(interval * 2 / 5);
-    gossip.suspect_to_down_after = gossip.suspect_to_down_after.mul_f64(slower);
+    let scale = interval as f64 / DEFAULT_PROBE_INTERVAL;
+    gossip.probe_period = to_duration(interval);
+    gossip.probe_rtt = to_duration(interval * 2 / 5);
+    gossip.suspect_to_down_after = gossip.suspect_to_down_after.mul_f64(scale);
     gossip.max_packet_size = NonZeroUsize::new(MAX_DATAGRAM_BYTES).unwrap_or(NonZeroUsize::MIN);
-    // `Members` announces by itself, since foca's own timers rest until it receives something.
+    // `Members` sends the announcements, since foca's own timers do not run until it receives something.
     gossip.periodic_announce = None;
     gossip.periodic_announce_to_down_members = Some(PeriodicParams {
-        frequency: duration(interval * DOWN_ANNOUNCE_INTERVALS),
+        frequency: to_duration(interval * DOWN_ANNOUNCE_INTERVALS),
         num_members: NonZeroUsize::MIN,
     });
     gossip
--- a/crates/linenthread-fleet/src/node_identity.rs
+++ b/crates/linenthread-fleet/src/node_identity.rs
@@ -1,4 +1,4 @@
-//! A member's identity, and its bytes in gossip.
+//! A member's identity and its encoding in gossip.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -8,25 +8,25 @@
 use crate::error::{InvalidNameSnafu, RecordError, UnknownAddressFamilySnafu};
 use crate::identifiers::ProcessIncarnation;
 
-/// The longest name of a member, machine, zone or region, in bytes.
+/// Maximum length of the name of a member, machine, zone or region, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
 
 const IPV4: u8 = 4;
 const IPV6: u8 = 6;
 
-/// From this renewal on, renewing an identity raises its incarnation too.
+/// Number of renewals after which each further one also increases the incarnation.
 const RENEWALS_BEFORE_INCARNATION: u32 = 8;
-/// The first step by which a renewal raises the incarnation; each further one is twice as large.
+/// First step by which a renewal increases the incarnation; each further step is twice as large.
 const FIRST_INCARNATION_STEP: u64 = 1_000;
-/// The steps grow no further after so many.
+/// Number of doublings after which the steps stop growing.
 const MAX_STEP_DOUBLINGS: u32 = 40;
 
-/// Who a member is, and where it runs.
+/// A member's identity and location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
     /// Its name, unique in the fleet.
     pub name: String,
-    /// Where it receives gossip.
+    /// The address at which it receives gossip.
     pub gossip: SocketAddr,
     /// The machine that it runs on.
     pub machine: String,
@@ -34,18 +34,18 @@
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// The version of what it speaks.
+    /// The protocol version that it uses.
     pub version: u16,
     /// Its weight among the fleet's members, in thousandths.
     pub weight: u16,
-    /// Of two members with one name the later one counts.
+    /// Of two members with the same name, the one with the later incarnation replaces the other.
     pub incarnation: ProcessIncarnation,
-    /// How often it was declared down in this incarnation and came back.
+    /// Number of times that it renewed its identity since its process started, after it had been declared down.
     pub renewals: u32,
 }
 
 impl NodeIdentity {
-    /// As much as is known of a member that is only to be asked for the others.
+    /// Returns the identity with which to contact a member of which only the name and the address are known.
     pub fn unknown(name: &str, gossip: SocketAddr) -> NodeIdentity {
         NodeIdentity {
             name: name.into(),
@@ -114,9 +114,10 @@
 impl foca::Identity for NodeIdentity {
     type Addr = String;
 
-    /// Declared down though it lives, the member comes back under an identity that wins over the former one. Its
-    /// incarnation stays, so that a later start of the process still wins. Only where that does not help, since the
-    /// machine's clock was set back, the incarnation rises too, by ever larger steps.
+    /// Returns an identity that supersedes this one, for a member that was declared down although it is alive. The
+    /// incarnation stays the same, so that a later start of the process still supersedes it. Only after several
+    /// renewals without success, which happens if the machine's clock was set back, the incarnation increases too, in
+    /// growing steps.
     fn renew(&self) -> Option<Self> {
         let step = match self.renewals.checked_sub(RENEWALS_BEFORE_INCARNATION) {
             None => 0,
--- a/crates/linenthread-fleet/src/state_table.rs
+++ b/crates/linenthread-fleet/src/state_table.rs
@@ -1,7 +1,7 @@
-//! The replicated state: numbered values by topic, and which voter goes by which id.
+//! The replicated state: numbered values by topic, and the voters' identities by id.
 //!
-//! All voters apply the same committed entries in the same order, so all have the same table (*one-value-per-number*): whether an
-//! entry is applied must depend on the table and the entry alone.
+//! All voters apply the same committed entries in the same order, so all have the same table (*one-value-per-number*):
+//! whether an entry is applied must depend on the table and the entry alone.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +11,20 @@
 use crate::error::{RecordError, ValueTooLongSnafu};
 use crate::voter_identity::{RaftId, VoterIdentity};
 
-/// The most topics.
+/// Maximum number of topics.
 pub const MAX_TOPICS: usize = 16;
-/// The longest value of a topic, in bytes.
+/// Maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 48 * 1024;
 const MAX_TOPIC_BYTES: usize = 64;
-/// The most voters' identities that are remembered, replaced ones included.
+/// Maximum number of voters' identities that are kept, including replaced ones.
 const MAX_VOTER_IDENTITIES: usize = 64;
 
-/// A value to be written if the topic's number is still the expected one.
+/// A write that is applied only if the topic's current number is the expected one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConditionalWrite {
     /// The topic.
     pub topic: String,
-    /// The number of the value that this one is based on; 0 where the topic has none yet.
+    /// The number of the value that this one is based on; 0 if the topic has no value yet.
     pub expected_number: u64,
     /// The new value.
     pub value: Vec<u8>,
@@ -55,7 +55,7 @@
 /// A topic's current value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedValue {
-    /// Its number within the topic, from 1; each value that is committed has the next one.
+    /// Its number within the topic, from 1; each committed value has the next number.
     pub number: u64,
     /// Its bytes.
     pub value: Vec<u8>,
@@ -72,32 +72,32 @@
     pub value: Vec<u8>,
 }
 
-/// All that was committed.
+/// The state after all committed entries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateTable {
     values: BTreeMap<String, NumberedValue>,
-    /// By id, with those that were replaced.
+    /// By id, including replaced ones.
     voter_identities: BTreeMap<RaftId, VoterIdentity>,
 }
 
 impl StateTable {
-    /// A topic's value and its number.
+    /// Returns a topic's value and its number; `None` if it has no value.
     pub fn value(&self, topic: &str) -> Option<&NumberedValue> {
         self.values.get(topic)
     }
 
-    /// The number of a topic's value; 0 if it has none.
+    /// Returns the number of a topic's value; 0 if it has none.
     pub fn number(&self, topic: &str) -> u64 {
         self.values.get(topic).map_or(0, |entry| entry.number)
     }
 
-    /// All topics with their values, in the order of the topics.
+    /// Returns all topics with their values, ordered by topic.
     pub fn values(&self) -> impl Iterator<Item = (&str, &NumberedValue)> {
         let values = self.values.iter();
         values.map(|(topic, value)| (topic.as_str(), value))
     }
 
-    /// All values as if each had just been committed.
+    /// Returns all values in the form in which committed values are reported.
     pub(crate) fn committed_values(&self) -> impl Iterator<Item = CommittedValue> {
         self.values().map(|(topic, current)| CommittedValue {
             topic: topic.to_owned(),
@@ -118,7 +118,8 @@
         self.voter_identities.keys().copied()
     }
 
-    /// Applies a committed write and returns the value that it has made; `None` if it is not based on the current one.
+    /// Applies a committed write and returns the resulting value; `None`, and no change, if the write is not based on
+    /// the current value or exceeds a limit.
     pub(crate) fn apply(&mut self, write: ConditionalWrite) -> Option<CommittedValue> {
         let is_valid = write.expected_number == self.number(&write.topic)
             && self.has_space_for(&write.topic)
@@ -134,9 +135,9 @@
         })
     }
 
-    /// Learns a committed value from a voter; returns whether it was newer than the known one. Values in between may be
-    /// missing: a follower that reconnects gets only the current ones.
-    pub(crate) fn learn(&mut self, committed: &CommittedValue) -> bool {
+    /// Stores a committed value that was received from a voter if it is newer than the present one, and returns whether
+    /// it was stored. Values in between may be missing: a follower that reconnects receives only the current ones.
+    pub(crate) fn update_if_newer(&mut self, committed: &CommittedValue) -> bool {
         let CommittedValue {
             topic,
             number,
@@ -159,8 +160,8 @@
         self.values.insert(topic, NumberedValue { number, value });
     }
 
-    /// Remembers a voter's identity beside its former ones.
-    pub(crate) fn admit(&mut self, identity: &VoterIdentity) {
+    /// Adds a voter's identity; earlier identities of the voter are kept.
+    pub(crate) fn add_voter_identity(&mut self, identity: &VoterIdentity) {
         while self.voter_identities.len() >= MAX_VOTER_IDENTITIES {
             self.voter_identities.pop_first();
         }
--- a/crates/linenthread-fleet/src/storage/mod.rs
+++ b/crates/linenthread-fleet/src/storage/mod.rs
@@ -1,6 +1,6 @@
-//! A voter's disk: its identity, Raft's hard state, the log of entries and the snapshot before it.
+//! A voter's durable storage: its identity, and Raft's hard state, snapshot and entries.
 //!
-//! `record` has the records on disk; `raft_storage` is what Raft reads of them.
+//! `record` encodes the records on disk; `raft_storage` implements the raft library's `Storage`.
 
 mod raft_storage;
 mod record;
@@ -21,36 +21,36 @@
 use crate::voter_identity::VoterIdentity;
 use record::Record;
 
-/// The log is compacted when so many entries were applied since the snapshot.
+/// The log is compacted once this many entries were applied since the snapshot.
 const COMPACT_AFTER_ENTRIES: u64 = 256;
-/// Or when it is longer than this, in bytes.
+/// The log is compacted once it is longer than this, in bytes.
 const COMPACT_ABOVE_BYTES: u64 = 2 * 1024 * 1024;
 
-/// A voter's disk and what is on it. All of it is in memory as well, since it is small.
+/// A voter's storage on disk. All of its state is kept in memory as well, since it is small.
 pub(crate) struct VoterStorage<F> {
     log: Log<F>,
     identity: Option<VoterIdentity>,
-    /// The voter has taken part in Raft under this identity.
+    /// The voter has participated in Raft under this identity.
     is_active: bool,
     hard_state: HardState,
-    /// The state that all entries before the following ones lead to.
+    /// The state after all entries before those in `entries`.
     snapshot: Snapshot,
-    /// The entries after the snapshot, without a gap.
+    /// The entries after the snapshot, without gaps.
     entries: VecDeque<Entry>,
 }
 
-/// A voter's disk as it was found.
+/// A voter's storage that was opened.
 pub(crate) struct OpenedStorage<F> {
     pub(crate) storage: VoterStorage<F>,
-    /// What a crash had left unfinished.
+    /// The incomplete write that was truncated, if there was one.
     pub(crate) torn_tail: Option<TornTail>,
 }
 
 impl<F: Files> VoterStorage<F> {
-    /// Opens what is on the disk.
+    /// Opens the storage on this disk.
     ///
     /// # Errors
-    /// As [`Log::open`], and for a record that does not decode.
+    /// As [`Log::open`], or a record cannot be decoded or applied.
     pub(crate) fn open(files: F) -> Result<OpenedStorage<F>, StorageError> {
         let opened = Log::open(files)?;
         let mut storage = VoterStorage {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Takes over a record that was written before.
+    /// Applies a record that was read from the disk.
     fn replay(&mut self, record: Record) -> Result<(), RecordError> {
         match record {
             Record::Identity(identity) => {
@@ -90,7 +90,7 @@
         Ok(())
     }
 
-    /// Puts an entry in its place, over those that stood there and after it.
+    /// Stores an entry at its index, in place of any entries from that index on.
     fn insert(&mut self, entry: Entry) -> Result<(), RecordError> {
         let position = self
             .position(entry.index)
@@ -101,7 +101,8 @@
         Ok(())
     }
 
-    /// Where the entry of an index is, or would be, among those after the snapshot.
+    /// Returns the position in `entries` for an index, whether or not there is an entry; `None` if the snapshot covers
+    /// it.
     fn position(&self, index: u64) -> Option<usize> {
         let position = index.checked_sub(self.snapshot_index() + 1)?;
         usize::try_from(position).ok()
@@ -111,7 +112,7 @@
         self.identity.as_ref()
     }
 
-    /// The incarnation of the identity; a founder's where there is none.
+    /// Returns the incarnation of the identity; a founder's if there is no identity.
     pub(crate) fn incarnation(&self) -> VoterIncarnation {
         let identity = self.identity();
         identity.map_or(VoterIncarnation::FOUNDER, |identity| identity.incarnation)
@@ -121,7 +122,7 @@
         self.is_active
     }
 
-    /// Begins under a new identity, from this state. What was there before is gone.
+    /// Replaces all contents with a new identity and the state from which it starts.
     pub(crate) fn initialize(
         &mut self,
         identity: VoterIdentity,
@@ -135,14 +136,14 @@
         self.rewrite()
     }
 
-    /// The voter takes part in Raft from now on.
+    /// Records durably that the voter participates in Raft from now on.
     pub(crate) fn activate(&mut self) -> Result<(), StorageError> {
         self.is_active = true;
         self.log.append(&record::active())?;
         Ok(self.log.sync()?)
     }
 
-    /// Appends entries; they last once [`VoterStorage::sync`] has returned.
+    /// Appends entries, which are durable once [`VoterStorage::sync`] has succeeded.
     pub(crate) fn append(&mut self, entries: &[Entry]) -> Result<(), StorageError> {
         for entry in entries {
             self.log.append(&record::entry(entry))?;
@@ -151,18 +152,18 @@
         Ok(())
     }
 
-    /// Writes Raft's hard state; it lasts once [`VoterStorage::sync`] has returned.
+    /// Writes Raft's hard state, which is durable once [`VoterStorage::sync`] has succeeded.
     pub(crate) fn set_hard_state(&mut self, hard_state: &HardState) -> Result<(), StorageError> {
         self.hard_state = hard_state.clone();
         Ok(self.log.append(&record::hard_state(hard_state))?)
     }
 
-    /// A commit index counts at once; it is written with the next record.
+    /// Sets the commit index in memory; it is written with the next hard state.
     pub(crate) fn set_commit(&mut self, commit: u64) {
         self.hard_state.commit = commit;
     }
 
-    /// Replaces all entries by a snapshot of the leader's.
+    /// Replaces all entries with a snapshot from the leader.
     pub(crate) fn install(&mut self, snapshot: Snapshot) -> Result<(), StorageError> {
         let metadata = snapshot.get_metadata();
         self.hard_state.commit = self.hard_state.commit.max(metadata.index);
@@ -172,19 +173,18 @@
         self.rewrite()
     }
 
-    /// Returns once all that was appended is on the disk for good.
+    /// Makes everything that was appended durable; returns once it is.
     pub(crate) fn sync(&mut self) -> Result<(), StorageError> {
         Ok(self.log.sync()?)
     }
 
-    /// Whether the log is so long that it should be compacted.
+    /// Reports whether the log is long enough to be compacted.
     pub(crate) fn needs_compaction(&self, applied: u64) -> bool {
         let count = applied.saturating_sub(self.snapshot_index());
         count >= COMPACT_AFTER_ENTRIES || count > 0 && self.log.bytes() > COMPACT_ABOVE_BYTES
     }
 
-    /// Replaces the entries up to `applied`, the last one that was applied, by a snapshot of the state that they lead
-    /// to.
+    /// Replaces the entries up to `applied`, the last applied index, with a snapshot of `state`.
     pub(crate) fn compact(
         &mut self,
         applied: u64,
@@ -208,7 +208,7 @@
         self.rewrite()
     }
 
-    /// Replaces all records by those of the present state.
+    /// Replaces all records on disk with those of the current state.
     fn rewrite(&mut self) -> Result<(), StorageError> {
         let mut records = Vec::new();
         records.extend(self.identity.as_ref().map(record::identity));
@@ -219,7 +219,7 @@
         Ok(self.log.rewrite(&records)?)
     }
 
-    /// The state at the snapshot.
+    /// Decodes the replicated state in the snapshot.
     pub(crate) fn state(&self) -> Result<StateTable, DecodeError> {
         if self.snapshot.data.is_empty() {
             Ok(StateTable::default())
@@ -228,7 +228,7 @@
         }
     }
 
-    /// The index of the last entry that the snapshot covers.
+    /// Returns the index of the last entry that the snapshot covers.
     pub(crate) fn snapshot_index(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
--- a/crates/linenthread-fleet/src/storage/raft_storage.rs
+++ b/crates/linenthread-fleet/src/storage/raft_storage.rs
@@ -1,4 +1,4 @@
-//! What Raft reads of a voter's disk.
+//! The raft library's read access to a voter's storage.
 
 use linenthread_store::Files;
 use raft::eraftpb::{Entry, Snapshot};
@@ -6,7 +6,7 @@
 
 use super::VoterStorage;
 
-/// What an entry counts beside its data and context when a message is filled, in bytes.
+/// Bytes that an entry counts towards a message's size limit in addition to its data and context.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 impl<F: Files> Storage for VoterStorage<F> {
--- a/crates/linenthread-fleet/src/storage/record.rs
+++ b/crates/linenthread-fleet/src/storage/record.rs
@@ -1,4 +1,5 @@
-//! The records on a voter's disk, byte by byte in `docs/fleet.md`: they outlast versions of this program.
+//! The records on a voter's disk, specified in `docs/fleet.md`. Later versions of the program must be able to read
+//! them.
 
 use linenthread_frames::{Decoder, Encoder};
 use raft::eraftpb::{Entry, HardState, Snapshot};
@@ -7,7 +8,7 @@
 use crate::frame::{decode_entry, decode_snapshot, encode_entry, encode_snapshot};
 use crate::voter_identity::VoterIdentity;
 
-/// The first byte of a record: what it holds.
+/// Values of a record's first byte, its kind.
 mod kind {
     pub(super) const IDENTITY: u8 = 1;
     pub(super) const HARD_STATE: u8 = 2;
@@ -16,16 +17,16 @@
     pub(super) const ACTIVE: u8 = 5;
 }
 
-/// One record. Later ones replace earlier ones of the same kind, but for entries.
+/// One record. Except for entries, a later record replaces the earlier one of the same kind.
 pub(super) enum Record {
-    /// The voter's identity; it has not taken part in Raft under it yet.
+    /// The voter's identity, under which it has not participated in Raft yet.
     Identity(VoterIdentity),
-    /// The voter takes part in Raft from here on.
+    /// The voter participates in Raft from now on.
     Active,
     HardState(HardState),
-    /// It stands in its place, and those after it are gone.
+    /// Replaces the entry with the same index, and removes all later entries.
     Entry(Entry),
-    /// It stands for all entries before it.
+    /// Replaces all entries in the records before it.
     Snapshot(Snapshot),
 }
 
--- a/crates/linenthread-fleet/src/voter/action.rs
+++ b/crates/linenthread-fleet/src/voter/action.rs
@@ -1,10 +1,10 @@
-//! What a voter asks its caller to do.
+//! The actions that a voter requests from its caller.
 
 use crate::event::FleetEvent;
 use crate::frame::Frame;
 use crate::state_table::CommittedValue;
 
-/// What the caller has to do, in order.
+/// What the caller has to do or is notified of, in order.
 #[derive(Debug)]
 pub enum VoterAction {
     /// Send a frame to another voter.
@@ -16,6 +16,6 @@
     },
     /// A value was committed.
     Committed(CommittedValue),
-    /// Write to the log.
+    /// Log an event.
     Log(FleetEvent),
 }
--- a/crates/linenthread-fleet/src/voter/clock.rs
+++ b/crates/linenthread-fleet/src/voter/clock.rs
@@ -1,4 +1,4 @@
-//! Raft's clock: it counts ticks, and elections begin by it.
+//! Raft's clock, in ticks, and the election timeout.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_store::Files;
@@ -11,26 +11,27 @@
 
 /// The interval of Raft's clock.
 pub(super) const TICK: TenthMillis = 500;
-/// An election begins after so many ticks without a message of the leader, and up to as many more.
+/// Minimum election timeout, in ticks without a message from the leader; a random number below this is added to it.
 const ELECTION_TICKS_U16: u16 = 20;
-/// The same as Raft counts them.
+/// The minimum election timeout in ticks, in the type that Raft uses.
 pub(super) const ELECTION_TICKS: usize = ELECTION_TICKS_U16 as usize;
-/// The same as a time.
+/// The minimum election timeout as a time.
 pub(super) const ELECTION_TIMEOUT: TenthMillis = TICK * ELECTION_TICKS_U16 as TenthMillis;
-/// A leader sends a heartbeat after so many ticks.
+/// Interval of the leader's heartbeats, in ticks.
 pub(super) const HEARTBEAT_TICKS: usize = 4;
-/// A leader that was suspended catches up with so many ticks: after two checks of its quorum it has stepped down.
+/// Maximum number of missed ticks that a leader makes up for after a suspension: enough for two checks of its quorum,
+/// after which it has stepped down.
 const MAX_MISSED_LEADER_TICKS: usize = 2 * ELECTION_TICKS + 2;
-/// Mixes a term into an election seed (the golden ratio as a 64-bit fraction).
+/// Multiplier that mixes the term into the election seed (the golden ratio as a 64-bit fraction).
 const TERM_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 impl<F: Files> Voter<F> {
-    /// When [`Voter::wake`] is to be called at the latest.
+    /// Returns the time by which [`Voter::wake`] must be called.
     pub fn wake_at(&self) -> TenthMillis {
         self.ticked_until + TICK
     }
 
-    /// Lets Raft's clock catch up with the time.
+    /// Advances Raft's clock to `now`.
     pub(super) fn run_clock(&mut self, now: TenthMillis, actions: &mut Vec<VoterAction>) {
         if !matches!(self.state, State::Active(_)) {
             self.ticked_until = now;
@@ -38,8 +39,8 @@
         }
         let missed = ((now - self.ticked_until) / TICK).max(0);
         self.ticked_until += missed * TICK;
-        // A leader must notice that it was suspended, before it acts as one again. Any other voter need not hurry to
-        // an election.
+        // A leader must notice that it was suspended before it acts as the leader again. Any other voter skips most of
+        // the missed ticks, so that it does not start an election at once.
         let max_ticks = if self.has_leader_role() {
             MAX_MISSED_LEADER_TICKS
         } else {
@@ -55,9 +56,9 @@
         }
     }
 
-    /// Sets a random election time-out in place of Raft's own, which Raft draws anew whenever its term or role changes:
-    /// so this follows each step that may change them. It depends on the seed, the term and the role only, so that a
-    /// seed always gives the same.
+    /// Replaces Raft's random election timeout with one that depends only on the seed, the term and the role, so that
+    /// runs are reproducible. Raft draws its own again whenever its term or role changes, so this must be called after
+    /// each step that may change them.
     pub(super) fn set_election_timeout(&mut self) {
         if let State::Active(node) = &mut self.state {
             let term = node.raft.term.wrapping_mul(TERM_MULTIPLIER);
--- a/crates/linenthread-fleet/src/voter/founding.rs
+++ b/crates/linenthread-fleet/src/voter/founding.rs
@@ -1,4 +1,5 @@
-//! How voters come to take part: as founders together, or under a new identity beside an existing fleet.
+//! Transitions to participation in Raft: all voters together as founders, or one voter under a new identity in an
+//! existing fleet.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_store::Files;
@@ -14,31 +15,31 @@
 use crate::storage::VoterStorage;
 use crate::voter_identity::{VoterIdentity, founders_digest};
 
-/// Set in each drawn incarnation, so that none is a founder's.
+/// Bit that is set in each drawn incarnation, so that none equals a founder's.
 const DRAWN_INCARNATION: u64 = 1 << 63;
-/// Founders begin as if they had committed one entry in this term: who votes.
+/// Founders start as if they had committed one entry, the list of voters, in this term.
 const FOUNDING_TERM: u64 = 1;
 const FOUNDING_INDEX: u64 = 1;
 
-/// How a voter gets to its next stage.
+/// Transition to a voter's next stage.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Transition {
-    /// It draws a new identity and takes part.
+    /// It draws a new identity and participates in Raft.
     Join,
     /// It becomes a founder.
-    Found,
-    /// It takes part under the identity that it has.
+    BecomeFounder,
+    /// It participates in Raft under its identity.
     Activate,
 }
 
 impl<F: Files> Voter<F> {
-    /// What this voter reports to the others.
+    /// Builds the progress report for the other voters.
     pub(super) fn progress_frame(&self) -> Frame {
         let progress = match &self.state {
             State::Empty(_) => Progress::Empty,
             State::Founded(_) => Progress::Founded,
             State::Active(_) => Progress::Active,
-            // Not empty: what is on a disk that fails may be all there is of what was committed.
+            // Not reported as empty: a failed disk may hold the only copy of committed entries.
             State::Stopped(_) => Progress::Stopped,
         };
         let storage = self.state.storage();
@@ -62,7 +63,7 @@
         }));
     }
 
-    /// Another voter has reported its progress.
+    /// Handles another voter's progress report.
     pub(super) fn on_progress(
         &mut self,
         now: TenthMillis,
@@ -87,22 +88,22 @@
         self.replace_voters(now, actions);
     }
 
-    /// Goes on to the next stage where what all others report allows it.
+    /// Advances to the next stage if the other voters' reports allow it.
     pub(super) fn advance_stage(&mut self, now: TenthMillis, actions: &mut Vec<VoterAction>) {
         let Some(transition) = self.next_transition() else {
             return;
         };
         let result = match transition {
             Transition::Join => self.join(actions),
-            Transition::Found => self.found(actions),
+            Transition::BecomeFounder => self.become_founder(actions),
             Transition::Activate => self.activate(),
         };
         if let Err(cause) = result {
             return self.stop(cause, actions);
         }
-        if transition != Transition::Found {
-            // What it promised before a restart is on its disk. What a former identity promised is not, and does
-            // not count.
+        if transition != Transition::BecomeFounder {
+            // Votes of this identity before a restart are on its disk. Those of a former identity are not, and do not
+            // count.
             self.started_at = now;
             self.start_raft(actions);
         }
@@ -115,7 +116,7 @@
             State::Empty(_) if another_is_active => Some(Transition::Join),
             State::Empty(_) => self
                 .all_others_report(&[Progress::Empty, Progress::Founded])
-                .then_some(Transition::Found),
+                .then_some(Transition::BecomeFounder),
             State::Founded(_) => (another_is_active
                 || self.all_others_report(&[Progress::Founded]))
             .then_some(Transition::Activate),
@@ -128,7 +129,7 @@
         others.any(|name| self.reported_progress(name) == Some(progress))
     }
 
-    /// Whether every other voter reports one of these, over a connection that it has now.
+    /// Reports whether every other voter has reported one of these values over its current connection.
     fn all_others_report(&self, allowed: &[Progress]) -> bool {
         let mut others = self.config.others();
         others.all(|name| {
@@ -141,7 +142,7 @@
         self.peers.get(voter).map(|peer| peer.progress)
     }
 
-    /// *new-disk-new-identity*: beside an existing fleet an empty disk gets an identity that has never voted.
+    /// Joins an existing fleet with an empty disk, under an identity that has never voted (*new-disk-new-identity*).
     fn join(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let State::Empty(storage) = &mut self.state else {
             return Ok(());
@@ -158,10 +159,10 @@
         storage.activate()
     }
 
-    /// Becomes a founder. It takes part in Raft only once all others are founders too: so an empty disk beside an
-    /// active voter is always one that was lost, never one that is still to be founded.
-    fn found(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
-        let Some(mut storage) = self.state.take_waiting_storage() else {
+    /// Becomes a founder. It participates in Raft only once all other voters are founders too, so that an empty disk
+    /// while another voter is active always means a lost disk, never a voter that is yet to become a founder.
+    fn become_founder(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
+        let Some(mut storage) = self.state.take_inactive_storage() else {
             return Ok(());
         };
         actions.push(VoterAction::Log(FleetEvent::Founded));
@@ -184,11 +185,12 @@
     }
 }
 
-/// What all founders begin with: they alone vote. It is the same at each of them, byte by byte.
+/// Returns the snapshot from which all founders start, with the founders as the voters. Its bytes are the same at each
+/// founder.
 fn founding_snapshot(voters: &[String]) -> Snapshot {
     let mut table = StateTable::default();
     for name in voters {
-        table.admit(&VoterIdentity::founder(name.clone()));
+        table.add_voter_identity(&VoterIdentity::founder(name.clone()));
     }
     let mut snapshot = Snapshot {
         data: table.encode().into(),
--- a/crates/linenthread-fleet/src/voter/inputs.rs
+++ b/crates/linenthread-fleet/src/voter/inputs.rs
@@ -1,4 +1,4 @@
-//! What the caller tells a voter: connections, frames, the time, and values to be proposed.
+//! A voter's inputs: connections, frames, the time and proposals.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::Encoder;
@@ -15,13 +15,13 @@
 use crate::state_table::ConditionalWrite;
 use crate::voter_identity::{RaftId, founders_digest};
 
-/// How often voters tell each other their progress while they are not all active.
+/// Interval at which a voter reports its progress until it is active and every other voter has reported.
 pub(super) const PROGRESS_INTERVAL: TenthMillis = 2_500;
-/// Names of other voters that are remembered by id.
+/// Maximum number of ids whose voters' names are kept.
 const MAX_VOTER_NAMES: usize = 64;
 
 impl<F: Files> Voter<F> {
-    /// The connection to another voter is established. What was reported before it does not count any more.
+    /// Handles an established connection to another voter. Progress that the voter reported earlier is discarded.
     pub fn on_connected(&mut self, peer: &str, actions: &mut Vec<VoterAction>) {
         self.on_disconnected(peer);
         if !matches!(self.state, State::Stopped(_)) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The connection to another voter has ended. What was on its way there may be lost.
+    /// Handles the end of the connection to another voter. Frames in flight may have been lost.
     pub fn on_disconnected(&mut self, peer: &str) {
         self.peers.remove(peer);
         let State::Active(node) = &mut self.state else {
@@ -41,12 +41,12 @@
         let names = self.voter_names.iter();
         for (id, _) in names.filter(|(_, name)| *name == peer) {
             node.report_unreachable(*id);
-            // Else Raft waits for ever for the outcome of a snapshot that was lost with the connection.
+            // Otherwise Raft waits forever for the outcome of a snapshot that was lost with the connection.
             node.report_snapshot(*id, SnapshotStatus::Failure);
         }
     }
 
-    /// Does all that is due. One that was suspended first makes up for the missed time, so that a leader steps down:
+    /// Performs everything that is due. After a suspension, Raft's clock first catches up, so that a leader steps down:
     /// it has received nothing from its quorum meanwhile.
     pub fn wake(&mut self, now: TenthMillis, actions: &mut Vec<VoterAction>) {
         self.run_clock(now, actions);
@@ -59,7 +59,8 @@
         self.drive(actions);
     }
 
-    /// Whether it takes part and every other voter has reported: nothing changes that it would have to report.
+    /// Reports whether it is active and every other voter has reported its progress, so that it need not repeat its
+    /// own.
     fn has_exchanged_progress(&self) -> bool {
         let others = self.config.others().count();
         matches!(self.state, State::Active(_)) && self.peers.len() == others
@@ -88,7 +89,7 @@
             }
             Frame::Progress { .. } => {
                 let peer = peer.to_owned();
-                actions.push(VoterAction::Log(FleetEvent::OtherFounders { peer }));
+                actions.push(VoterAction::Log(FleetEvent::FoundersMismatch { peer }));
                 return;
             }
             Frame::Raft(message) => self.on_raft_message(now, peer, *message, actions),
@@ -122,11 +123,11 @@
         }
     }
 
-    /// Proposes a write. It is committed, or lost where another value was first or the leader has changed: what counts
-    /// is [`VoterAction::Committed`].
+    /// Proposes a write. [`VoterAction::Committed`] reports that it was committed; it may be lost without notice if
+    /// another write to the topic is committed first, or the leader changes.
     ///
     /// # Errors
-    /// This process does not lead, the value is too long, or too much waits to be committed.
+    /// This process is not the leader, the topic or the value is too long, or too many bytes wait to be committed.
     pub fn propose(
         &mut self,
         now: TenthMillis,
@@ -134,7 +135,7 @@
         actions: &mut Vec<VoterAction>,
     ) -> Result<(), ProposeError> {
         ensure!(write.has_valid_lengths(), TooLongSnafu);
-        // Raft's own role is not enough: one that is cut off learns only later that it does not lead any more.
+        // Raft's role alone is not enough: a partitioned leader keeps it for a while after another one was elected.
         ensure!(self.is_leader(now), NotLeaderSnafu);
         let State::Active(node) = &mut self.state else {
             return NotLeaderSnafu.fail();
--- a/crates/linenthread-fleet/src/voter/lease.rs
+++ b/crates/linenthread-fleet/src/voter/lease.rs
@@ -1,7 +1,7 @@
-//! The leader's lease: proof that no other process leads, for a limited time.
+//! The leader's lease, which proves for a limited time that no other process is the leader.
 //!
-//! The leader asks its quorum at intervals. An answer proves that no other leader was elected when the question was
-//! sent, and none can be elected for an election time-out from then on.
+//! The leader sends requests to its quorum at intervals. The quorum's response proves that no other leader had been
+//! elected when the request was sent, and that none can be elected for one election timeout from then on.
 
 use std::collections::VecDeque;
 
@@ -13,12 +13,12 @@
 use super::clock::ELECTION_TIMEOUT;
 use super::stage::State;
 
-/// How long a quorum's answer is valid, from when it was asked: less than an election takes on clocks that differ by
-/// a tenth either way.
+/// How long the lease lasts from when the confirmed request was sent: shorter than the election timeout, even if the
+/// clocks run a tenth too fast or too slow.
 const LEASE_DURATION: TenthMillis = ELECTION_TIMEOUT * 3 / 4;
-/// How often the quorum is asked.
+/// Interval of the requests to the quorum.
 const RENEW_INTERVAL: TenthMillis = 1_000;
-/// The most requests without an answer that are remembered.
+/// Maximum number of requests without a response that are kept.
 const MAX_PENDING: usize = 64;
 
 struct PendingRequest {
@@ -26,10 +26,10 @@
     sent_at: TenthMillis,
 }
 
-/// The state of the lease at one voter.
+/// A voter's lease and its pending requests.
 #[derive(Default)]
 pub(super) struct Lease {
-    /// Requests to the quorum without an answer, oldest first.
+    /// Requests to the quorum without a response, oldest first.
     pending: VecDeque<PendingRequest>,
     last_request: u64,
     requested_at: TenthMillis,
@@ -41,19 +41,19 @@
         now < self.valid_until
     }
 
-    /// Ends the lease; answers that are under way still count.
+    /// Ends the lease; responses to pending requests still renew it.
     pub(super) fn revoke(&mut self) {
         self.valid_until = 0;
     }
 
-    /// Ends the lease, and answers to earlier requests do not count any more.
+    /// Ends the lease; responses to earlier requests no longer renew it.
     pub(super) fn reset(&mut self) {
         self.pending.clear();
         self.revoke();
     }
 
-    /// The number of a new request.
-    fn request(&mut self, now: TenthMillis) -> u64 {
+    /// Records a new request and returns its number.
+    fn add_request(&mut self, now: TenthMillis) -> u64 {
         self.requested_at = now;
         self.last_request += 1;
         self.pending.push_back(PendingRequest {
@@ -66,9 +66,9 @@
         self.last_request
     }
 
-    /// The quorum has answered: the request and all before it are done.
-    pub(super) fn on_answer(&mut self, answer: &ReadState) {
-        let context = answer.request_ctx.as_slice();
+    /// Handles the quorum's response to a request: renews the lease, and drops the request and all earlier ones.
+    pub(super) fn on_response(&mut self, response: &ReadState) {
+        let context = response.request_ctx.as_slice();
         let number = context.try_into().map_or(0, u64::from_be_bytes);
         while let Some(request) = self
             .pending
@@ -82,14 +82,14 @@
 }
 
 impl<F: Files> Voter<F> {
-    /// Asks the quorum whether this process still leads, at intervals.
+    /// As the leader, sends a request to the quorum if one is due.
     pub(super) fn renew_lease(&mut self, now: TenthMillis) {
         let State::Active(node) = &mut self.state else {
             return;
         };
         let is_due = now >= self.lease.requested_at + RENEW_INTERVAL;
         if is_due && node.raft.state == StateRole::Leader {
-            let number = self.lease.request(now);
+            let number = self.lease.add_request(now);
             node.read_index(number.to_be_bytes().to_vec());
         }
     }
--- a/crates/linenthread-fleet/src/voter/message_check.rs
+++ b/crates/linenthread-fleet/src/voter/message_check.rs
@@ -1,4 +1,4 @@
-//! What is checked of a peer's Raft message before Raft gets it.
+//! Validates peers' Raft messages before they are passed to Raft.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_store::Files;
@@ -10,15 +10,14 @@
 use super::clock::{ELECTION_TIMEOUT, TICK};
 use super::stage::State;
 use crate::error::{
-    ImpossibleCommitSnafu, ImpossibleEntrySnafu, LocalMessageSnafu, MalformedSnapshotSnafu,
-    MessageError,
+    InvalidCommitSnafu, InvalidEntrySnafu, LocalMessageSnafu, MalformedSnapshotSnafu, MessageError,
 };
 use crate::identifiers::{LogIndex, Term};
 use crate::state_table::StateTable;
 use crate::storage::VoterStorage;
 
 impl<F: Files> Voter<F> {
-    /// Passes a message to Raft.
+    /// Validates a message and passes it to Raft.
     pub(super) fn step(&mut self, now: TenthMillis, message: Message) -> Result<(), MessageError> {
         if self.ignores_vote_request(now, &message) {
             return Ok(());
@@ -27,11 +26,11 @@
             return Ok(());
         };
         if message.to != node.raft.id {
-            // Sent to a former identity.
+            // Sent to a former identity of this voter.
             return Ok(());
         }
         check(&node.raft, &message)?;
-        // Raft refuses answers of one that does not vote any more; nothing depends on them.
+        // Raft rejects responses of identities that no longer vote; nothing depends on them.
         let _ = node.step(message);
         Ok(())
     }
@@ -41,11 +40,11 @@
             message.msg_type,
             MessageType::MsgRequestVote | MessageType::MsgRequestPreVote
         );
-        // Before a restart it may have confirmed a leader's lease, which it does not remember: until that has
-        // expired it votes for nobody.
-        let may_be_bound = now < self.started_at + ELECTION_TIMEOUT + TICK;
+        // Before a restart it may have confirmed a leader's lease, which is not stored: it votes for nobody until such
+        // a lease has expired.
+        let lease_may_be_valid = now < self.started_at + ELECTION_TIMEOUT + TICK;
         let is_known = self.conf_state.voters.is_empty() || self.is_voter_id(message.from);
-        requests_vote && (may_be_bound || !is_known)
+        requests_vote && (lease_may_be_valid || !is_known)
     }
 }
 
@@ -58,7 +57,7 @@
             let is_current = message.term >= raft.term;
             ensure!(
                 commit <= last_index || !is_current,
-                ImpossibleCommitSnafu { commit, last_index }
+                InvalidCommitSnafu { commit, last_index }
             );
         }
         MessageType::MsgSnapshot => {
@@ -71,7 +70,7 @@
     Ok(())
 }
 
-/// Entries follow each other and contradict no committed one.
+/// Checks that entries are consecutive, have no later term than the message, and contradict no committed entry.
 fn check_entries<F: Files>(
     raft: &Raft<VoterStorage<F>>,
     message: &Message,
@@ -85,7 +84,7 @@
         let contradicts = is_committed && raft.raft_log.term(index).is_ok_and(differs);
         ensure!(
             index == expected_index && term <= message.term && !contradicts,
-            ImpossibleEntrySnafu {
+            InvalidEntrySnafu {
                 index: LogIndex(index),
                 term: Term(term)
             }
--- a/crates/linenthread-fleet/src/voter/mod.rs
+++ b/crates/linenthread-fleet/src/voter/mod.rs
@@ -1,19 +1,19 @@
-//! One voter of the replicated state: how it is founded, how it takes part, and how one that lost its disk returns.
+//! One voter of the replicated state: founding of the fleet, participation in Raft, and return with a new disk.
 //!
 //! | stage | meaning | next stage when |
 //! | --- | --- | --- |
-//! | empty | no identity on its disk | all others report empty or founded: founded. One reports active: it draws a new identity and is active |
-//! | founded | a founder's identity, not yet used | all others report founded, or one is active: active |
-//! | active | it takes part in Raft | |
-//! | stopped | its disk has failed | it is opened anew |
+//! | empty | no identity on its disk | all others report empty or founded: founded; or one reports active: active, under a new identity |
+//! | founded | a founder's identity, not yet used | all others report founded, or one reports active: active |
+//! | active | participates in Raft | |
+//! | stopped | its disk has failed | it is opened again |
 //!
-//! So a fleet is founded only by all its voters together, and an empty disk beside an existing fleet is never taken
-//! for a founder's: it gets an identity that has never voted. The leader replaces the former identity by the new one,
-//! one change of voters at a time.
+//! So a fleet is founded only by all its voters together. A voter with an empty disk in an existing fleet never becomes
+//! a founder: it gets an identity that has never voted. The leader replaces the former identity with the new one, one
+//! change of voters at a time.
 //!
-//! Where to read what: `founding` goes through the stages, `startup` hands the disk to Raft, `clock` and `ready` drive
-//! it, `message_check` stands before it, `lease` proves who leads, `reconfiguration` replaces identities, and `inputs`
-//! is what the caller calls.
+//! Modules: `inputs` has the entry points for the caller, `founding` the transitions between stages, `startup` the
+//! start of Raft, `clock` its ticks and `ready` the handling of its output, `message_check` the validation of peers'
+//! messages, `lease` the leader's lease, and `reconfiguration` the replacement of identities.
 
 mod action;
 mod clock;
@@ -53,36 +53,36 @@
     state: State<F>,
     /// The replicated state.
     table: StateTable,
-    /// Who votes, as of the last entry that was applied.
+    /// The voters' ids as of the last applied entry.
     conf_state: ConfState,
-    /// The index of the last entry that the table contains.
+    /// Index of the last entry applied to the table.
     applied: u64,
     rng: Rand64,
-    /// Mixed into its election time-outs.
+    /// Seed of its election timeouts.
     election_seed: u64,
-    /// When it began to take part, or was opened.
+    /// When it was opened, or when it became active if that was later.
     started_at: TenthMillis,
-    /// Up to when Raft's clock has run.
+    /// The time up to which Raft's clock has advanced.
     ticked_until: TenthMillis,
-    /// What other voters have reported, by name.
+    /// The progress that other voters have reported, by name.
     peers: BTreeMap<String, PeerProgress>,
     progress_sent_at: TenthMillis,
-    /// The voters' names by their ids, as far as messages have shown.
+    /// Voters' names by id, as learned from their messages.
     voter_names: BTreeMap<RaftId, String>,
     lease: Lease,
-    /// When this leader last added a new identity of a voter.
+    /// When this voter, as the leader, last proposed to add a new identity, by voter name.
     replaced_at: BTreeMap<String, TenthMillis>,
-    /// A voter was added: the snapshot that it begins from must name it.
+    /// A voter was added: the log must be compacted, so that the snapshot from which the new voter starts contains it.
     voter_added: bool,
-    /// Whether it led when that was last noted in the log.
+    /// Whether it was the leader when leadership was last checked for the log.
     was_leader: bool,
 }
 
 impl<F: Files> Voter<F> {
-    /// Opens what is on its disk. A disk that fails gives a voter that has stopped.
+    /// Opens a voter with this disk. If the disk fails, the voter is in stage [`Stage::Stopped`].
     ///
     /// # Errors
-    /// The configuration is invalid, or what was written is damaged, of another version, or another voter's.
+    /// The configuration is invalid, or the stored state is damaged, of another version, or another voter's.
     pub fn new(
         config: VoterConfig,
         files: F,
@@ -110,20 +110,20 @@
             voter_added: false,
             was_leader: false,
         };
-        // It has promised something under this identity: it goes on without asking the others.
-        let has_taken_part = voter.state.storage().is_some_and(VoterStorage::is_active);
-        if has_taken_part {
+        // A voter that has participated in Raft under this identity resumes without waiting for the others' reports.
+        let has_participated = voter.state.storage().is_some_and(VoterStorage::is_active);
+        if has_participated {
             voter.start_raft(actions);
         }
         Ok(voter)
     }
 
-    /// How far it has come.
+    /// Returns its stage.
     pub fn stage(&self) -> Stage {
         self.state.stage()
     }
 
-    /// Whether it leads under a lease that is still valid: nobody else leads at this moment.
+    /// Reports whether it is the leader and its lease, which excludes any other leader, is valid at `now`.
     pub fn is_leader(&self, now: TenthMillis) -> bool {
         self.has_leader_role() && self.lease.is_valid(now)
     }
@@ -132,7 +132,7 @@
         matches!(&self.state, State::Active(node) if node.raft.state == StateRole::Leader)
     }
 
-    /// The leader's name, as far as it knows.
+    /// Returns the leader's name, if it is active and knows one.
     pub fn leader(&self) -> Option<&str> {
         let State::Active(node) = &self.state else {
             return None;
@@ -143,7 +143,7 @@
         self.voter_name(node.raft.leader_id)
     }
 
-    /// Raft's term; [`Term::NONE`] where it takes no part.
+    /// Returns Raft's term; [`Term::NONE`] if it is not active.
     pub fn term(&self) -> Term {
         match &self.state {
             State::Active(node) => Term(node.raft.term),
@@ -151,18 +151,18 @@
         }
     }
 
-    /// The replicated state, as far as it is committed here.
+    /// Returns the replicated state after the entries that it has applied.
     pub fn table(&self) -> &StateTable {
         &self.table
     }
 
-    /// The incarnation of its identity; `None` without an identity.
+    /// Returns the incarnation of its identity; `None` if it has no identity, or its disk has failed.
     pub fn incarnation(&self) -> Option<VoterIncarnation> {
         let identity = self.state.storage()?.identity();
         identity.map(|identity| identity.incarnation)
     }
 
-    /// Whether it is one of those that vote, by all that it knows.
+    /// Reports whether its identity is among the voters, as far as it has applied the log.
     pub fn votes(&self) -> bool {
         matches!(&self.state, State::Active(node) if self.is_voter_id(node.raft.id))
     }
@@ -179,10 +179,10 @@
             .map(String::as_str)
     }
 
-    /// The disk has failed: it steps down by sending nothing more, and others lead.
+    /// Stops after a failure of the disk. It sends nothing more, so that another voter can become the leader.
     fn stop(&mut self, cause: StorageError, actions: &mut Vec<VoterAction>) {
         let stopped = State::Stopped(cause.to_string());
-        actions.push(VoterAction::Log(FleetEvent::SteppedDown { cause }));
+        actions.push(VoterAction::Log(FleetEvent::VoterStopped { cause }));
         if std::mem::take(&mut self.was_leader) {
             let term = self.term();
             actions.push(VoterAction::Log(FleetEvent::LeadershipLost { term }));
@@ -192,8 +192,8 @@
     }
 }
 
-/// Opens the disk. A voter whose disk fails right now is stopped and may be opened again; one whose disk holds what no
-/// voter of this name has written must not be opened at all.
+/// Opens the storage. If the disk fails, the voter is stopped and may be opened again later. If the contents are
+/// damaged or were written by another voter, it must not be opened at all.
 fn open_storage<F: Files>(
     config: &VoterConfig,
     files: F,
@@ -210,7 +210,7 @@
     actions.extend(truncated.map(VoterAction::Log));
     let owner = storage.identity().map(|identity| &identity.name);
     if let Some(owner) = owner.filter(|owner| **owner != config.name) {
-        return Err(OpenError::ForeignFolder {
+        return Err(OpenError::ForeignDirectory {
             owner: owner.clone(),
             local: config.name.clone(),
         });
--- a/crates/linenthread-fleet/src/voter/ready.rs
+++ b/crates/linenthread-fleet/src/voter/ready.rs
@@ -1,4 +1,4 @@
-//! What Raft requests is done: persist, send, apply.
+//! Handles Raft's output: persists, sends and applies.
 
 use linenthread_frames::Decoder;
 use linenthread_store::Files;
@@ -14,7 +14,7 @@
 use crate::storage::VoterStorage;
 
 impl<F: Files> Voter<F> {
-    /// Does what Raft requests, and sends nothing that relies on a record before that is synced.
+    /// Handles all of Raft's pending output. No message is sent before the records that it relies on are synced.
     pub(super) fn drive(&mut self, actions: &mut Vec<VoterAction>) {
         loop {
             match &self.state {
@@ -29,9 +29,9 @@
         self.update_leadership(actions);
     }
 
-    /// Handles one batch of Raft's requests in the order that its library requires: persist, then advance; only then
-    /// send and apply. What is reported as committed is never undone (*committed-lasts*), since no message that lets
-    /// others count this voter's disk leaves before that disk is synced.
+    /// Handles one `Ready` in the order that the raft library requires: persist, then advance, and only then send and
+    /// apply. A value that is reported as committed is never undone (*committed-lasts*), because no message that
+    /// relies on this voter's disk is sent before the disk is synced.
     fn handle_ready(&mut self, actions: &mut Vec<VoterAction>) -> Result<(), StorageError> {
         let State::Active(node) = &mut self.state else {
             return Ok(());
@@ -50,8 +50,8 @@
         committed.extend(light_ready.take_committed_entries());
         messages.extend(light_ready.take_messages());
         self.send_all(messages, actions);
-        for answer in &read_states {
-            self.lease.on_answer(answer);
+        for response in &read_states {
+            self.lease.on_response(response);
         }
         if let Some(snapshot) = snapshot {
             self.restore(&snapshot, actions);
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Reports all values as committed: which of them are new to the caller is not known here.
+    /// Reports all values as committed, because it is not known which of them the caller has already received.
     pub(super) fn report_all_values(&self, actions: &mut Vec<VoterAction>) {
         let committed = self.table.committed_values();
         actions.extend(committed.map(VoterAction::Committed));
     }
 
-    /// Takes over the state of a leader's snapshot.
+    /// Replaces the replicated state with that of a leader's snapshot.
     fn restore(&mut self, snapshot: &Snapshot, actions: &mut Vec<VoterAction>) {
         let metadata = snapshot.get_metadata();
         self.conf_state = metadata.get_conf_state().clone();
@@ -90,7 +90,7 @@
         self.report_all_values(actions);
     }
 
-    /// Applies one committed entry. A write that is not based on the current value changes nothing, at any voter.
+    /// Applies one committed entry. A write that is not based on the current value has no effect, at all voters alike.
     fn apply(&mut self, entry: &Entry, actions: &mut Vec<VoterAction>) {
         self.applied = entry.index;
         if entry.entry_type == EntryType::EntryConfChange {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Tells Raft how far entries are applied, and compacts the log where it is long.
+    /// Reports the applied index to Raft, and compacts the log if it is long or a voter was added.
     fn finish_applying(&mut self) -> Result<(), StorageError> {
         let State::Active(node) = &mut self.state else {
             return Ok(());
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// Notes whether this process has begun or ceased to lead.
+    /// Logs that this process has become the leader or is no longer the leader, and resets its lease then.
     fn update_leadership(&mut self, actions: &mut Vec<VoterAction>) {
         let is_leader = self.has_leader_role();
         if is_leader == self.was_leader {
--- a/crates/linenthread-fleet/src/voter/reconfiguration.rs
+++ b/crates/linenthread-fleet/src/voter/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes of the voters: the leader replaces a voter's former identity by its new one.
+//! Changes of the voters: the leader replaces a voter's former identity with its new one.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::{DecodeError, Decoder, Encoder};
@@ -12,14 +12,14 @@
 use crate::identifiers::VoterIncarnation;
 use crate::voter_identity::VoterIdentity;
 
-/// A voter's identity is replaced no more often than this.
+/// Minimum time between two replacements of a voter's identity.
 const REPLACE_INTERVAL: TenthMillis = 50_000;
 
-/// Changes by their number in an entry's context.
+/// Codes of the kinds of changes in an entry's context.
 const ADD: u8 = 1;
 const REMOVE: u8 = 2;
 
-/// A change of the voters, as an entry's context has it.
+/// A change of the voters, as encoded in an entry's context.
 struct IdentityChange {
     kind: VoterChangeKind,
     identity: VoterIdentity,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// For the log.
-    fn describe(&self) -> VoterChange {
+    /// Returns the change in the form in which it is logged.
+    fn voter_change(&self) -> VoterChange {
         VoterChange {
             name: self.identity.name.clone(),
             incarnation: self.identity.incarnation,
@@ -69,8 +69,9 @@
 }
 
 impl<F: Files> Voter<F> {
-    /// As the leader: proposes the next change where a voter takes part under a new identity. First the former one
-    /// leaves, which answers no more, then the new one joins; never two changes at once.
+    /// As the leader, proposes the next change if a voter is active under a new identity: first the removal of the
+    /// former identity, which no longer responds, then the addition of the new one. Only one change is pending at a
+    /// time.
     pub(super) fn replace_voters(&mut self, now: TenthMillis, actions: &mut Vec<VoterAction>) {
         if !self.is_leader(now) {
             return;
@@ -93,7 +94,7 @@
             self.replaced_at.insert(name, now);
         }
         actions.push(VoterAction::Log(FleetEvent::VoterChangeProposed(
-            change.describe(),
+            change.voter_change(),
         )));
     }
 
@@ -114,14 +115,14 @@
         })
     }
 
-    /// The first voter, by name, that takes part under an identity which does not vote yet.
+    /// Returns the new identity of the first voter, by name, that is active under an identity which does not vote yet.
     fn new_identity(&self, now: TenthMillis) -> Option<VoterIdentity> {
         let peers = self.peers.iter();
         let candidates = peers.filter(|(name, peer)| {
             peer.progress == Progress::Active
                 && peer.incarnation != VoterIncarnation::FOUNDER
                 && self.config.voters.contains(name)
-                && !self.was_replaced_lately(name, now)
+                && !self.was_recently_replaced(name, now)
         });
         let mut identities = candidates.map(|(name, peer)| VoterIdentity {
             name: name.clone(),
@@ -130,7 +131,7 @@
         identities.find(|identity| !self.is_voter_id(identity.id()))
     }
 
-    fn was_replaced_lately(&self, name: &str, now: TenthMillis) -> bool {
+    fn was_recently_replaced(&self, name: &str, now: TenthMillis) -> bool {
         let replaced_at = self.replaced_at.get(name);
         replaced_at.is_some_and(|at| now < at + REPLACE_INTERVAL)
     }
@@ -146,11 +147,11 @@
             self.conf_state = conf_state;
         }
         if change.kind == VoterChangeKind::Add {
-            self.table.admit(&change.identity);
+            self.table.add_voter_identity(&change.identity);
             self.voter_added = true;
         }
         actions.push(VoterAction::Log(FleetEvent::VoterChanged(
-            change.describe(),
+            change.voter_change(),
         )));
     }
 }
--- a/crates/linenthread-fleet/src/voter/stage.rs
+++ b/crates/linenthread-fleet/src/voter/stage.rs
@@ -1,4 +1,4 @@
-//! How far a voter has come.
+//! The stages of a voter.
 
 use linenthread_store::Files;
 use raft::RawNode;
@@ -7,33 +7,33 @@
 use crate::identifiers::VoterIncarnation;
 use crate::storage::VoterStorage;
 
-/// How far a voter has come.
+/// Stage of a voter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
     /// Its disk is empty.
     Empty,
-    /// It is a founder and has not taken part yet.
+    /// It is a founder and does not participate in Raft yet.
     Founded,
-    /// It takes part in Raft.
+    /// It participates in Raft.
     Active,
     /// Its disk has failed, with this cause.
     Stopped(String),
 }
 
-/// A voter's stage, with what belongs to it.
+/// A voter's stage, with its storage.
 pub(super) enum State<F: Files> {
-    /// There is no identity on the disk.
+    /// The disk holds no identity.
     Empty(Box<VoterStorage<F>>),
-    /// There is an identity on the disk that has not taken part in Raft yet.
+    /// The disk holds an identity that has not participated in Raft yet.
     Founded(Box<VoterStorage<F>>),
-    /// Raft owns the disk.
+    /// Raft owns the storage.
     Active(Box<RawNode<VoterStorage<F>>>),
-    /// The disk has failed: nothing is sent any more.
+    /// The disk has failed, with this cause: nothing is sent any more.
     Stopped(String),
 }
 
 impl<F: Files> State<F> {
-    /// The state of a voter whose disk was opened, before it takes part.
+    /// Returns the state of a voter whose storage was just opened, before it participates in Raft.
     pub(super) fn opened(storage: VoterStorage<F>) -> State<F> {
         let storage = Box::new(storage);
         match storage.identity() {
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Takes the disk of a voter that does not take part in Raft yet, for its next state. Until that is set the voter
-    /// counts as stopped.
-    pub(super) fn take_waiting_storage(&mut self) -> Option<Box<VoterStorage<F>>> {
+    /// Takes the storage of a voter that does not participate in Raft yet, for its next state. Until that is set, the
+    /// voter is in stage [`Stage::Stopped`].
+    pub(super) fn take_inactive_storage(&mut self) -> Option<Box<VoterStorage<F>>> {
         match std::mem::replace(self, State::Stopped("it begins".into())) {
             State::Empty(storage) | State::Founded(storage) => Some(storage),
             other @ (State::Active(_) | State::Stopped(_)) => {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The disk, unless it has failed.
+    /// Returns the storage, unless the disk has failed.
     pub(super) fn storage(&self) -> Option<&VoterStorage<F>> {
         match self {
             State::Empty(storage) | State::Founded(storage) => Some(storage),
@@ -73,7 +73,7 @@
     }
 }
 
-/// What another voter has reported over the connection that it has now.
+/// The progress that another voter has reported over its current connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct PeerProgress {
     pub(super) progress: Progress,
--- a/crates/linenthread-fleet/src/voter/startup.rs
+++ b/crates/linenthread-fleet/src/voter/startup.rs
@@ -1,4 +1,4 @@
-//! The start of Raft with what is on the disk.
+//! Starts Raft from the stored state.
 
 use linenthread_store::Files;
 use raft::{RawNode, Storage};
@@ -12,25 +12,25 @@
 use crate::storage::VoterStorage;
 use crate::voter_identity::{RaftId, VoterIdentity};
 
-/// The most bytes of entries in one message.
+/// Maximum total size of the entries in a message, in bytes.
 const MAX_MESSAGE_BYTES: u64 = 128 * 1024;
-/// The most messages with entries that are under way to one voter.
+/// Maximum number of messages with entries in flight to a voter.
 const MAX_MESSAGES_IN_FLIGHT: usize = 64;
-/// The most bytes of proposals that wait to be committed.
+/// Maximum total size of proposals that wait to be committed, in bytes.
 const MAX_UNCOMMITTED_BYTES: u64 = 1024 * 1024;
-/// The most bytes of entries that are applied at once.
+/// Maximum total size of the entries that are applied at once, in bytes.
 const MAX_APPLIED_BYTES: u64 = 512 * 1024;
 
-/// Raft with its disk, and the state that the disk's snapshot holds.
+/// A started Raft node, and the replicated state in its storage's snapshot.
 struct StartedNode<F: Files> {
     node: RawNode<VoterStorage<F>>,
     table: StateTable,
 }
 
 impl<F: Files> Voter<F> {
-    /// Begins to take part with what is on the disk.
+    /// Starts to participate in Raft from the stored state.
     pub(super) fn start_raft(&mut self, actions: &mut Vec<VoterAction>) {
-        let Some(storage) = self.state.take_waiting_storage() else {
+        let Some(storage) = self.state.take_inactive_storage() else {
             return;
         };
         let Some(id) = storage.identity().map(VoterIdentity::id) else {
@@ -62,8 +62,8 @@
     }
 }
 
-/// With a pre-vote and a check of the quorum, a voter that is cut off neither disturbs the others when it comes back
-/// nor believes that it leads.
+/// Returns Raft's configuration. With pre-vote and check-quorum, a partitioned voter neither disrupts the others when
+/// it reconnects nor continues to act as the leader.
 fn raft_config(id: RaftId, applied: u64) -> raft::Config {
     raft::Config {
         id,
--- a/crates/linenthread-fleet/src/voter_identity.rs
+++ b/crates/linenthread-fleet/src/voter_identity.rs
@@ -1,14 +1,14 @@
-//! Which disk of a voter is meant: two disks of one voter are two identities.
+//! The identity of a voter with a particular disk: a voter with another disk has another identity.
 
 use linenthread_frames::{DecodeError, Decoder, Encoder};
 use linenthread_hash::fnv1a_64;
 
 use crate::identifiers::{FoundersDigest, VoterIncarnation};
 
-/// The id by which Raft knows a voter; never 0, which Raft takes for nobody.
+/// A voter's id in Raft; never 0, which means no voter.
 pub(crate) type RaftId = u64;
 
-/// A voter with one disk: an empty disk gets another identity.
+/// A voter with a particular disk: if the disk is lost, the voter gets a new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct VoterIdentity {
     pub(crate) name: String,
@@ -16,7 +16,7 @@
 }
 
 impl VoterIdentity {
-    /// The identity of a founder.
+    /// Returns the identity of a founder.
     pub(crate) fn founder(name: String) -> VoterIdentity {
         VoterIdentity {
             name,
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Its id in Raft: a hash of the name, a zero byte and the incarnation. It lies on disks and must not change.
+    /// Returns the id in Raft: a hash of the name, a zero byte and the incarnation. It is stored on disks, so the hash
+    /// must not change.
     pub(crate) fn id(&self) -> RaftId {
         let incarnation = self.incarnation.0.to_be_bytes();
         let bytes = [self.name.as_bytes(), &[0], &incarnation].concat();
@@ -44,7 +45,8 @@
     }
 }
 
-/// A digest of the founders' names, in any order: fleets of other voters are no part of this one.
+/// Returns a digest of the founders' names, which does not depend on their order. It keeps fleets with different voters
+/// apart.
 pub(crate) fn founders_digest(voters: &[String]) -> FoundersDigest {
     let mut names = voters.to_vec();
     names.sort_unstable();
