--- a/crates/linenthread-fleet/tests/cluster/mod.rs
+++ b/crates/linenthread-fleet/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Three voters on one clock, for the tests of voters.
+//! Test cluster of three voters with a common clock.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,31 +11,30 @@
 };
 use linenthread_store::SimulatedDisk;
 
-/// A disk that outlives its voter.
+/// A disk that outlives its voter, so that a restarted voter finds its contents.
 pub(crate) type Disk = Rc<RefCell<SimulatedDisk>>;
 
 /// The voters' names.
 pub(crate) const NAMES: [&str; 3] = ["catania", "messina", "palermo"];
-/// Tenths of a millisecond between two wake-ups.
+/// Time between two wake-ups, in tenths of a millisecond.
 const STEP: i64 = 250;
 const STEPS_PER_SECOND: i64 = 40;
 
-/// Something of one of the voters.
+/// An event or action of one of the voters.
 pub(crate) struct FromVoter<T> {
     /// The voter's name.
     pub(crate) voter: String,
-    /// What it is.
     pub(crate) item: T,
 }
 
-/// Voters on one clock; what they send arrives at once, but where they are partitioned.
+/// Voters with a common clock; their frames are delivered immediately, except between partitioned voters.
 pub(crate) struct Cluster {
     pub(crate) now: i64,
     pub(crate) voters: BTreeMap<String, Voter<Disk>>,
     pub(crate) disks: BTreeMap<String, Disk>,
-    /// Pairs that cannot reach each other.
+    /// Pairs of voters that cannot reach each other.
     pub(crate) partitions: Vec<(String, String)>,
-    /// By topic and number.
+    /// Committed values by topic and number.
     pub(crate) committed: BTreeMap<(String, u64), Vec<u8>>,
     pub(crate) events: Vec<FromVoter<FleetEvent>>,
     starts: u64,
@@ -94,7 +93,7 @@
         running.filter(|other| *other != name).cloned().collect()
     }
 
-    /// Calls a voter, and delivers what it sends and what follows from that.
+    /// Calls a voter and performs its actions, including those that the frames it sends cause at other voters.
     pub(crate) fn act(
         &mut self,
         name: &str,
@@ -106,20 +105,20 @@
         let mut actions = Vec::new();
         call(voter, self.now, &mut actions);
         let mut pending = VecDeque::new();
-        let of = |voter: &str, actions: Vec<VoterAction>| {
+        let with_voter = |voter: &str, actions: Vec<VoterAction>| {
             let voter = voter.to_owned();
-            let of_voter = move |item| FromVoter {
+            let from_voter = move |item| FromVoter {
                 voter: voter.clone(),
                 item,
             };
-            actions.into_iter().map(of_voter)
+            actions.into_iter().map(from_voter)
         };
-        pending.extend(of(name, actions));
+        pending.extend(with_voter(name, actions));
         while let Some(FromVoter { voter, item }) = pending.pop_front() {
             match item {
                 VoterAction::Send { to, frame } => {
-                    let answers = self.deliver(&voter, &to, &frame);
-                    pending.extend(of(&to, answers));
+                    let actions = self.deliver(&voter, &to, &frame);
+                    pending.extend(with_voter(&to, actions));
                 }
                 VoterAction::Committed(committed) => self.on_committed(committed),
                 VoterAction::Log(event) => self.events.push(FromVoter { voter, item: event }),
@@ -127,20 +126,20 @@
         }
     }
 
-    /// Sends a frame over the wire; what its receiver asks for.
+    /// Encodes and delivers a frame, and returns the receiver's actions.
     fn deliver(&mut self, from: &str, to: &str, frame: &Frame) -> Vec<VoterAction> {
-        let mut answers = Vec::new();
+        let mut actions = Vec::new();
         if self.is_partitioned(from, to) {
-            return answers;
+            return actions;
         }
         let mut bytes = frame.encode();
         let drained = Frame::drain(&mut bytes, |frame| {
             if let Some(voter) = self.voters.get_mut(to) {
-                voter.on_frame(self.now, from, frame, &mut answers);
+                voter.on_frame(self.now, from, frame, &mut actions);
             }
         });
-        drained.expect("a frame of ours");
-        answers
+        drained.expect("the frame decodes");
+        actions
     }
 
     fn on_committed(&mut self, committed: CommittedValue) {
@@ -149,9 +148,9 @@
             number,
             value,
         } = committed;
-        let known = self.committed.entry((topic, number));
-        let known = known.or_insert_with(|| value.clone());
-        assert_eq!(*known, value, "one-value-per-number");
+        let known_value = self.committed.entry((topic, number));
+        let known_value = known_value.or_insert_with(|| value.clone());
+        assert_eq!(*known_value, value, "one-value-per-number");
     }
 
     pub(crate) fn run(&mut self, seconds: i64) {
@@ -168,14 +167,14 @@
     }
 
     pub(crate) fn leaders(&self) -> Vec<&'static str> {
-        let leads = |name: &&str| {
+        let is_leader = |name: &&str| {
             let voter = self.voters.get(*name);
             voter.is_some_and(|voter| voter.is_leader(self.now))
         };
-        NAMES.into_iter().filter(leads).collect()
+        NAMES.into_iter().filter(is_leader).collect()
     }
 
-    /// Has the leader propose a value.
+    /// Proposes a value at the leader.
     pub(crate) fn propose(
         &mut self,
         topic: &str,
--- a/crates/linenthread-fleet/tests/config.rs
+++ b/crates/linenthread-fleet/tests/config.rs
@@ -1,4 +1,4 @@
-//! Configurations that cannot be right are rejected before anything starts.
+//! Invalid configurations are rejected before anything starts.
 
 use linenthread_fleet::{
     ConfigError, Fleet, FleetConfig, NodeIdentity, OpenError, PeerAddress, Voter, VoterConfig,
@@ -19,7 +19,7 @@
         voters: voters.iter().map(voter).collect(),
         expected_members: 3,
         probe_interval: 5_000,
-        secrets: Secrets::new(vec![vec![7; 16]]).expect("it is long enough"),
+        secrets: Secrets::new(vec![vec![7; 16]]).expect("the secret is long enough"),
         seed: 1,
     }
 }
@@ -33,28 +33,37 @@
 }
 
 #[test]
-fn a_fleet_needs_a_probe_interval_and_different_voters() {
-    let good = fleet_config(&["catania", "messina", "palermo"]);
-    assert_eq!(good.validate(), Ok(()));
-    let idle = FleetConfig {
+fn a_fleet_config_needs_a_probe_interval_and_distinct_voters() {
+    let valid = fleet_config(&["catania", "messina", "palermo"]);
+    assert_eq!(valid.validate(), Ok(()));
+    let without_interval = FleetConfig {
         probe_interval: 0,
-        ..good
+        ..valid
     };
-    assert_eq!(idle.validate(), Err(ConfigError::NoProbeInterval));
-    let twice = fleet_config(&["catania", "messina", "messina"]);
+    assert_eq!(
+        without_interval.validate(),
+        Err(ConfigError::NoProbeInterval)
+    );
+    let duplicate = fleet_config(&["catania", "messina", "messina"]);
     let name = "messina".to_owned();
-    assert_eq!(twice.validate(), Err(ConfigError::DuplicateVoter { name }));
-    let started = Fleet::<Disk>::new(twice, None, 0, &mut Vec::new());
+    assert_eq!(
+        duplicate.validate(),
+        Err(ConfigError::DuplicateVoter { name })
+    );
+    let started = Fleet::<Disk>::new(duplicate, None, 0, &mut Vec::new());
     assert!(matches!(started, Err(OpenError::InvalidConfig { .. })));
 }
 
 #[test]
 fn a_voter_must_be_among_the_voters() {
-    let good = voter_config(&["catania", "messina", "palermo"]);
-    assert_eq!(good.validate(), Ok(()));
-    let other = voter_config(&["messina", "palermo"]);
+    let valid = voter_config(&["catania", "messina", "palermo"]);
+    assert_eq!(valid.validate(), Ok(()));
+    let without_itself = voter_config(&["messina", "palermo"]);
     let name = "catania".to_owned();
-    assert_eq!(other.validate(), Err(ConfigError::NotAmongVoters { name }));
-    let opened = Voter::new(other, Disk::default(), 0, &mut Vec::new());
+    assert_eq!(
+        without_itself.validate(),
+        Err(ConfigError::NotAmongVoters { name })
+    );
+    let opened = Voter::new(without_itself, Disk::default(), 0, &mut Vec::new());
     assert!(matches!(opened, Err(OpenError::InvalidConfig { .. })));
 }
--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The fleet's wire and disk format, checked against bytes that an earlier version wrote.
+//! Compatibility of the fleet's wire and disk formats with bytes that an earlier version wrote.
 //!
-//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
-//! pass: processes of a fleet that is being upgraded, and voters' disks written before, hold such bytes.
+//! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test pass:
+//! processes of an earlier version send these bytes during a rolling upgrade, and existing disks of voters hold them.
 
 mod cluster;
 
@@ -20,7 +20,7 @@
 
 use cluster::{Cluster, Disk, NAMES};
 
-/// The names and bytes of a golden file.
+/// Returns the names and bytes in a golden file.
 fn golden(text: &str) -> Vec<(String, Vec<u8>)> {
     named_bytes(text)
         .map(|(name, bytes)| (name.to_owned(), bytes))
@@ -70,12 +70,12 @@
     }
 }
 
-/// Bytes that count up from the first.
+/// Returns `N` bytes that count up from `first`.
 fn counting_from<const N: usize>(first: u8) -> [u8; N] {
     std::array::from_fn(|i| first + u8::try_from(i).expect("few bytes"))
 }
 
-/// One frame of each kind, with the names that they have in the golden file.
+/// Returns one frame of each kind with its name in the golden file.
 fn frames() -> Vec<(String, Frame)> {
     let mut frames = handshake_frames();
     frames.extend([
@@ -148,7 +148,7 @@
     progresses.into_iter().enumerate().map(frame).collect()
 }
 
-/// A message of each kind, and one with entries and a snapshot.
+/// Returns a message of each type, and one with entries and a snapshot.
 fn raft_frames() -> Vec<(String, Frame)> {
     let kinds = [
         MessageType::MsgAppend,
@@ -180,13 +180,13 @@
 
 // --- voters' disks ---
 
-/// Each voter's files with their bytes.
+/// Returns the names and bytes of all voters' files.
 fn files(cluster: &Cluster) -> Vec<(String, Vec<u8>)> {
     let mut files = Vec::new();
     for (voter, disk) in &cluster.disks {
         let mut disk = disk.borrow_mut();
-        for name in disk.list().expect("a folder") {
-            let bytes = disk.read(&name).expect("a file");
+        for name in disk.list().expect("the directory is readable") {
+            let bytes = disk.read(&name).expect("the file is readable");
             files.push((format!("{voter}/{name}"), bytes));
         }
     }
@@ -195,16 +195,16 @@
 
 fn start_all(cluster: &mut Cluster) {
     for name in NAMES {
-        cluster.start(name).expect("a disk without damage");
+        cluster.start(name).expect("the disk is not damaged");
     }
 }
 
 fn propose(cluster: &mut Cluster, topic: &str, expected_number: u64, value: &[u8]) {
-    let proposed = cluster.propose(topic, expected_number, value);
-    proposed.expect("the leader takes it");
+    let result = cluster.propose(topic, expected_number, value);
+    result.expect("there is a leader");
 }
 
-/// A fleet is founded and writes some values.
+/// Returns a fleet that was founded and has committed some values.
 fn founded() -> Cluster {
     let mut cluster = Cluster::new();
     start_all(&mut cluster);
@@ -216,13 +216,13 @@
     cluster
 }
 
-/// Then one voter loses its disk and comes back as another one, and so many values are written that the logs
-/// are compacted.
-fn grown() -> Cluster {
+/// Returns a founded fleet in which one voter has lost its disk and returned under a new identity, and which has
+/// committed enough values afterwards for the logs to be compacted.
+fn compacted() -> Cluster {
     let mut cluster = founded();
     cluster.stop("catania");
     cluster.disks.insert("catania".to_owned(), Disk::default());
-    cluster.start("catania").expect("an empty disk");
+    cluster.start("catania").expect("an empty disk opens");
     cluster.run(10);
     for number in 2..280 {
         propose(&mut cluster, "table", number, &number.to_be_bytes());
@@ -231,11 +231,11 @@
     cluster
 }
 
-/// Voters started from these files.
+/// Returns a cluster whose voters were started from these files.
 fn restarted(files: Vec<(String, Vec<u8>)>) -> Cluster {
     let mut cluster = Cluster::new();
     for (path, bytes) in files {
-        let (voter, name) = path.split_once('/').expect("a voter and a file");
+        let (voter, name) = path.split_once('/').expect("a path of voter and file");
         let mut disk = cluster.disks[voter].borrow_mut();
         disk.append(name, &bytes).expect("there is space");
     }
@@ -243,7 +243,7 @@
     cluster
 }
 
-/// What a voter holds, to compare one that was started from a golden disk with one that wrote such a disk.
+/// The durable state of a voter, for comparing one that was started from a golden disk with one that wrote such a disk.
 #[derive(Debug, PartialEq)]
 struct DurableState {
     incarnation: Option<VoterIncarnation>,
@@ -260,7 +260,7 @@
     }
 }
 
-/// The values of the record at a voter, by topic.
+/// Returns the values in a voter's table, by topic.
 fn values(cluster: &Cluster, name: &str) -> Vec<(String, NumberedValue)> {
     let values = cluster.voters[name].table().values();
     let values = values.map(|(topic, value)| (topic.to_owned(), value.clone()));
@@ -286,7 +286,7 @@
 /// A datagram and the address that it goes to.
 type SentDatagram = (String, Vec<u8>);
 
-/// Members on one clock whose datagrams arrive at once, by address.
+/// Members by address, with a common clock, whose datagrams are delivered immediately.
 struct Gossip {
     members: BTreeMap<SocketAddr, Members>,
     sent: Vec<SentDatagram>,
@@ -294,8 +294,8 @@
 
 impl Gossip {
     fn new(all: &[NodeIdentity]) -> Gossip {
-        let secrets =
-            Secrets::new(vec![b"a secret of this test".to_vec()]).expect("it is long enough");
+        let secrets = Secrets::new(vec![b"a secret of this test".to_vec()])
+            .expect("the secret is long enough");
         let seed = |member: &NodeIdentity| PeerAddress {
             name: member.name.clone(),
             address: member.gossip,
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Wakes all members, and delivers what they send and what follows from that.
+    /// Wakes all members and delivers their datagrams, including those sent in response.
     fn step(&mut self, now: i64) {
         let mut pending = VecDeque::new();
         for member in self.members.values_mut() {
@@ -331,8 +331,8 @@
             };
             if let Some(member) = self.members.get_mut(&to) {
                 let mut actions = Vec::new();
-                let accepted = member.on_datagram(now, &bytes, &mut actions);
-                accepted.expect("a datagram of ours");
+                let result = member.on_datagram(now, &bytes, &mut actions);
+                result.expect("the datagram is accepted");
                 pending.extend(actions);
             }
             self.sent.push((to.to_string(), bytes));
@@ -340,7 +340,8 @@
     }
 }
 
-/// All datagrams while three members find each other, and then one falls silent and is suspected and declared down.
+/// Returns all datagrams that are sent while three members discover each other, and then one stops and is suspected and
+/// declared down.
 fn gossip() -> Vec<SentDatagram> {
     let all = [
         member("catania", "10.0.0.1:7001", 0x6162_6364_6566_6768),
@@ -365,11 +366,11 @@
     for ((name, frame), (golden_name, bytes)) in frames.into_iter().zip(golden) {
         assert_eq!(name, golden_name);
         assert_eq!(frame.encode(), bytes, "{name} encodes");
-        let mut read = bytes;
+        let mut buffer = bytes;
         let mut decoded = Vec::new();
-        let taken = Frame::drain(&mut read, |frame| decoded.push(frame));
-        taken.unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert!(read.is_empty(), "{name} leaves bytes behind");
+        let result = Frame::drain(&mut buffer, |frame| decoded.push(frame));
+        result.unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert!(buffer.is_empty(), "{name} leaves bytes behind");
         assert_eq!(decoded, [frame], "{name} decodes");
     }
 }
@@ -391,7 +392,7 @@
 #[test]
 fn a_fleet_that_replaced_a_voter_and_compacted_writes_the_bytes_of_version_464716d() {
     let golden = golden(include_str!("golden/grown.hex"));
-    let cluster = grown();
+    let cluster = compacted();
     assert!(files(&cluster) == golden, "the bytes differ");
     assert_ne!(
         cluster.voters["catania"].incarnation(),
@@ -403,10 +404,10 @@
 fn voters_start_from_disks_of_version_464716d() {
     for (text, expected) in [
         (include_str!("golden/founded.hex"), founded()),
-        (include_str!("golden/grown.hex"), grown()),
+        (include_str!("golden/grown.hex"), compacted()),
     ] {
         let mut cluster = restarted(golden(text));
-        // Three of three start at once: the term that each holds is the one on its disk.
+        // All three voters have just started, so each still has the term on its disk.
         for name in NAMES {
             assert_eq!(
                 durable_state(&cluster, name),
--- a/crates/linenthread-fleet/tests/membership.rs
+++ b/crates/linenthread-fleet/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership by gossip: members find each other, and notice who is down, who has left and who is back.
+//! Membership by gossip: members discover each other and detect that a member is down, has left or has returned.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -11,16 +11,16 @@
 const FIRST_PORT: u16 = 4_000;
 
 fn config(n: u16, incarnation: u64) -> MembersConfig {
-    let at = |n: u16| ([127, 0, 0, 1], FIRST_PORT + n).into();
+    let address = |n: u16| ([127, 0, 0, 1], FIRST_PORT + n).into();
     MembersConfig {
         local: NodeIdentity {
             incarnation: ProcessIncarnation(incarnation),
             zone: "z".into(),
-            ..NodeIdentity::unknown(&format!("m{n}"), at(n))
+            ..NodeIdentity::unknown(&format!("m{n}"), address(n))
         },
         seeds: vec![PeerAddress {
             name: "m0".into(),
-            address: at(0),
+            address: address(0),
         }],
         expected_members: 8,
         probe_interval: 5_000,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Members on one clock whose datagrams arrive at once; `None` stands for one that is not there.
+/// Members with a common clock whose datagrams are delivered immediately; `None` for a member that is not running.
 struct Fleet {
     now: i64,
     members: Vec<Option<Members>>,
@@ -44,16 +44,16 @@
         }
     }
 
-    /// Whether each member knows so many others within so many seconds.
-    fn all_know(&mut self, others: usize, seconds: i64) -> bool {
+    /// Reports whether each running member knows exactly `others` other members within `seconds`.
+    fn all_know_within(&mut self, others: usize, seconds: i64) -> bool {
         let end = self.now + seconds * 10_000;
-        while self.now < end && !self.know(others) {
+        while self.now < end && !self.all_know(others) {
             self.step();
         }
-        self.know(others)
+        self.all_know(others)
     }
 
-    fn know(&self, others: usize) -> bool {
+    fn all_know(&self, others: usize) -> bool {
         let mut members = self.members.iter().flatten();
         members.all(|member| member.alive().count() == others)
     }
@@ -73,33 +73,34 @@
         }
     }
 
-    /// Delivers a datagram, and once more with a change: what a member does for the first alone.
+    /// Delivers a datagram, and then a modified copy, which must be rejected. Returns the actions for the original.
     fn deliver(&mut self, to: SocketAddr, datagram: &[u8]) -> Vec<MembersAction> {
-        let mut answers = Vec::new();
+        let mut actions = Vec::new();
         let index = usize::from(to.port() - FIRST_PORT);
         if let Some(Some(member)) = self.members.get_mut(index) {
             member
-                .on_datagram(self.now, datagram, &mut answers)
+                .on_datagram(self.now, datagram, &mut actions)
                 .unwrap();
-            // A datagram that was changed on its way proves nothing.
-            let mut changed = datagram.to_vec();
-            changed[9] ^= 1;
-            let refused = member.on_datagram(self.now, &changed, &mut answers);
-            assert!(refused.is_err());
+            // A datagram that was modified in transit is not authenticated.
+            let mut modified = datagram.to_vec();
+            modified[9] ^= 1;
+            let result = member.on_datagram(self.now, &modified, &mut actions);
+            assert!(result.is_err());
         }
-        answers
+        actions
     }
 }
 
-/// Eight members: all learn of all, one that falls silent is down for all within seconds, one that leaves at once.
+/// Eight members discover each other. One that stops without notice is down for all others within 20 s, and so is one
+/// that leaves. One that restarts with a later incarnation is known to all again.
 #[test]
-fn members_find_each_other_and_notice_who_is_down() {
+fn members_discover_each_other_and_detect_departures_and_returns() {
     let mut fleet = Fleet::new(8);
-    assert!(fleet.all_know(7, 20), "all know all");
+    assert!(fleet.all_know_within(7, 20), "all members know each other");
     fleet.members[3] = None;
     assert!(
-        fleet.all_know(6, 20),
-        "one that fell silent is down for all"
+        fleet.all_know_within(6, 20),
+        "the stopped member is down for all"
     );
     let mut actions = Vec::new();
     let leaving = fleet.members[5].as_mut().unwrap();
@@ -107,12 +108,18 @@
     let is_sent = |action: &MembersAction| matches!(action, MembersAction::Send { .. });
     assert!(actions.iter().any(is_sent));
     fleet.members[5] = None;
-    assert!(fleet.all_know(5, 20), "one that left is down for all");
-    // Back under its name, in a later incarnation.
-    let later_start = MembersConfig {
+    assert!(
+        fleet.all_know_within(5, 20),
+        "the member that left is down for all"
+    );
+    // The stopped member restarts under its name, with a later incarnation.
+    let restarted = MembersConfig {
         random_seed: 99,
         ..config(3, 2)
     };
-    fleet.members[3] = Some(Members::new(later_start, 0));
-    assert!(fleet.all_know(6, 30), "one that is back is known to all");
+    fleet.members[3] = Some(Members::new(restarted, 0));
+    assert!(
+        fleet.all_know_within(6, 30),
+        "the restarted member is known to all"
+    );
 }
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Voters that exchange messages at once, one step at a time: how a fleet is founded and keeps its state. Random
-//! schedules are run by the simulation of fleets; here are the edge cases that explain them.
+//! Voters whose messages are delivered immediately: founding of a fleet, crashes, lost disks, leases and invalid
+//! messages. The simulation of fleets covers random schedules; these tests cover single edge cases.
 
 mod cluster;
 
@@ -16,24 +16,24 @@
     }
 }
 
-/// Nobody reaches this one, nor is reached by it.
+/// Partitions a voter from all others, in place of any earlier partitions.
 fn isolate(cluster: &mut Cluster, name: &str) {
     let others = NAMES.iter().filter(|other| **other != name);
     let pairs = others.map(|other| ((*other).to_owned(), name.to_owned()));
     cluster.partitions = pairs.collect();
 }
 
-/// What the voters have logged, for the message of a failed assertion.
+/// Returns the voters' log lines.
 fn log(cluster: &Cluster) -> Vec<String> {
     let line = |event: &FromVoter<_>| format!("{}: {}", event.voter, event.item);
     cluster.events.iter().map(line).collect()
 }
 
-fn last_line(cluster: &Cluster) -> String {
-    log(cluster).pop().expect("something was logged")
+fn last_log_line(cluster: &Cluster) -> String {
+    log(cluster).pop().expect("a log line")
 }
 
-/// A fleet with one committed value.
+/// Returns a fleet with one committed value.
 fn founded() -> Cluster {
     let mut cluster = Cluster::new();
     for name in NAMES {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_fleet_is_founded_by_all_its_voters_and_by_no_fewer() {
+fn a_fleet_is_founded_only_by_all_its_voters() {
     let mut cluster = Cluster::new();
     cluster.start("catania").unwrap();
     cluster.start("messina").unwrap();
@@ -66,7 +66,7 @@
     cluster.start("palermo").unwrap();
     cluster.run(5);
     assert_eq!(cluster.leaders().len(), 1);
-    // A value is written on the number that it is based on, once.
+    // Only one of two writes based on the same number is applied.
     cluster.propose("table", 0, b"one").unwrap();
     cluster.propose("table", 0, b"other").unwrap();
     cluster.propose("table", 1, b"two").unwrap();
@@ -81,16 +81,16 @@
     let leader = cluster.leaders()[0].to_owned();
     isolate(&mut cluster, &leader);
     cluster.run(3);
-    // The one that led leads no more, and says so at once rather than with its next check.
+    // The partitioned leader's lease has expired, so it rejects a proposal without waiting for Raft's next quorum check.
     let new = cluster.leaders();
     assert!(new.len() == 1 && new[0] != leader, "{new:?}");
-    let mut refused = Ok(());
-    cluster.act(&leader, |v, now, to| {
-        refused = v.propose(now, &write("table", 1, b"alone"), to);
+    let mut result = Ok(());
+    cluster.act(&leader, |voter, now, actions| {
+        result = voter.propose(now, &write("table", 1, b"alone"), actions);
     });
-    let refused = refused.unwrap_err();
-    assert!(matches!(refused, ProposeError::NotLeader));
-    assert_eq!(refused.to_string(), "this process is not the leader");
+    let error = result.unwrap_err();
+    assert!(matches!(error, ProposeError::NotLeader));
+    assert_eq!(error.to_string(), "this process is not the leader");
     cluster.propose("table", 1, b"second").unwrap();
     for name in NAMES {
         cluster.stop(name);
@@ -100,7 +100,7 @@
         disk.borrow_mut().crash(&mut rng);
     }
     cluster.partitions.clear();
-    // Two of three are enough once the fleet exists.
+    // Two of three voters are enough once the fleet exists.
     cluster.start("messina").unwrap();
     cluster.start("palermo").unwrap();
     cluster.run(5);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_voter_that_lost_its_disk_gets_a_new_identity_and_one_whose_disk_fails_is_not_empty() {
+fn a_lost_disk_gives_a_new_identity_and_a_failed_disk_does_not_count_as_empty() {
     let mut cluster = founded();
     cluster.stop("catania");
     cluster.disks.insert("catania".into(), Disk::default());
@@ -124,7 +124,8 @@
         "new-disk-new-identity"
     );
     assert!(cluster.voters["catania"].votes(), "{:?}", log(&cluster));
-    // Both others' disks fail; then this one is lost again. What they hold is unknown: no fleet is founded again.
+    // The disks of both other voters fail, then this voter loses its disk again. The failed disks may hold committed
+    // entries, so no new fleet is founded.
     for name in ["messina", "palermo"] {
         cluster.disks[name].borrow_mut().syncs_until_failure = Some(0);
     }
@@ -137,8 +138,8 @@
         }
     }
     let log_lines = log(&cluster);
-    let steps_down = |line: &String| line.contains("voter stopped: the disk failed");
-    assert!(log_lines.iter().any(steps_down), "{log_lines:?}");
+    let is_stop = |line: &String| line.contains("voter stopped: the disk failed");
+    assert!(log_lines.iter().any(is_stop), "{log_lines:?}");
     cluster.stop("catania");
     cluster.disks.insert("catania".into(), Disk::default());
     cluster.start("catania").unwrap();
@@ -160,19 +161,20 @@
     cluster.run(10);
     let new = cluster.leaders()[0].to_owned();
     cluster.voters.insert(leader.clone(), suspended);
-    // Before any message reaches it, by its own clock alone.
+    // It is not the leader even before it receives a message, by its own clock alone.
     assert!(!cluster.voters[&leader].is_leader(cluster.now));
     isolate(&mut cluster, &leader);
     cluster.act(&leader, Voter::wake);
-    let line = last_line(&cluster);
+    let line = last_log_line(&cluster);
     assert!(line.contains("lost leadership"), "{line}");
     cluster.partitions.clear();
     cluster.run(2);
     assert_eq!(cluster.leaders(), [new]);
 }
 
-/// One voter is partitioned from the leader and requests the third one's vote again and again. That one restarts and
-/// does not remember that it has confirmed the leader: whenever that happens, nobody else leads while the lease lasts.
+/// A voter that restarts has no record that it confirmed the leader's lease. While another voter, partitioned from the
+/// leader, requests its vote repeatedly, it must not help to elect a second leader before that lease has expired,
+/// whenever it restarts.
 #[test]
 fn a_restarted_voter_does_not_vote_while_a_lease_may_last() {
     for offset in 0..30 {
@@ -199,7 +201,7 @@
 }
 
 #[test]
-fn a_damaged_or_foreign_folder_is_not_opened() {
+fn a_damaged_directory_or_one_of_another_voter_is_not_opened() {
     let mut cluster = founded();
     for number in 1..5 {
         cluster.propose("table", number, b"next").unwrap();
@@ -223,7 +225,7 @@
     );
 }
 
-/// The message with entries that the leader sends to another voter when it proposes a second value.
+/// Proposes a second value at the leader, and returns the append message that it sends to another voter.
 fn append_message(cluster: &mut Cluster, leader: &str, to_voter: &str) -> Message {
     let mut sent = None;
     cluster.act(leader, |voter, now, actions| {
@@ -241,46 +243,46 @@
     *sent.unwrap()
 }
 
-/// What no correct voter sends neither ends the process nor changes what was committed.
+/// Messages that no correct voter sends neither panic nor change what was committed.
 #[test]
-fn impossible_messages_are_rejected() {
+fn invalid_raft_messages_are_rejected() {
     let mut cluster = founded();
     let leader = cluster.leaders()[0];
-    let victim = NAMES.into_iter().find(|name| *name != leader).unwrap();
-    let term = cluster.voters[victim].term().0;
-    let good = append_message(&mut cluster, leader, victim);
-    let commit_beyond_the_log = Message {
+    let receiver = NAMES.into_iter().find(|name| *name != leader).unwrap();
+    let term = cluster.voters[receiver].term().0;
+    let valid = append_message(&mut cluster, leader, receiver);
+    let commit_beyond_log = Message {
         msg_type: MessageType::MsgHeartbeat,
         term,
         commit: 1_000_000,
-        ..good.clone()
+        ..valid.clone()
     };
     let entry = Entry {
         index: 2,
         term: 1,
         ..Entry::default()
     };
-    let other_than_committed = Message {
+    let contradicts_committed = Message {
         index: 1,
         log_term: 1,
         entries: vec![entry].into(),
-        ..good.clone()
+        ..valid.clone()
     };
-    let mut with_a_gap = good;
-    with_a_gap.entries[0].index += 7;
-    for (message, why) in [
-        (commit_beyond_the_log, "is beyond the last entry"),
-        (other_than_committed, "does not fit the log"),
-        (with_a_gap, "does not fit the log"),
+    let mut index_gap = valid;
+    index_gap.entries[0].index += 7;
+    for (message, reason) in [
+        (commit_beyond_log, "is beyond the last entry"),
+        (contradicts_committed, "does not fit the log"),
+        (index_gap, "does not fit the log"),
     ] {
-        cluster.act(victim, |voter, now, actions| {
+        cluster.act(receiver, |voter, now, actions| {
             voter.on_frame(now, leader, Frame::Raft(Box::new(message)), actions);
         });
-        let line = last_line(&cluster);
-        assert!(line.contains(why), "{line}");
+        let line = last_log_line(&cluster);
+        assert!(line.contains(reason), "{line}");
     }
     cluster.run(2);
     cluster.propose("table", 2, b"goes on").unwrap();
     cluster.run(1);
-    assert_eq!(cluster.voters[victim].table().number("table"), 3);
+    assert_eq!(cluster.voters[receiver].table().number("table"), 3);
 }
