--- a/crates/linenthread-fleet/src/fleet/handshake.rs
+++ b/crates/linenthread-fleet/src/fleet/handshake.rs
@@ -146,7 +146,7 @@
         if !self.may_connect(&hello) {
             return self.refuse(id, INVALID_NAME, actions);
         }
-        let welcome = Frame::proven_welcome(&self.secrets, secret, &hello.nonce);
+        let welcome = Frame::welcome_with_proof(&self.secrets, secret, &hello.nonce);
         write(id, &welcome, actions);
         let peer = Peer {
             name: hello.name,
@@ -172,7 +172,7 @@
         proof: &Proof,
         actions: &mut Vec<FleetAction>,
     ) {
-        if Frame::verifies_welcome(&self.secrets, nonce, proof) {
+        if Frame::verify_welcome(&self.secrets, nonce, proof) {
             // Only voters are dialled.
             let role = Role::Voter;
             self.on_established(id, Peer { name, role }, actions);
--- a/crates/linenthread-fleet/src/frame/handshake.rs
+++ b/crates/linenthread-fleet/src/frame/handshake.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// The first frame of the side that connects.
+/// The first frame of the connecting side.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hello {
     /// The protocol version that it uses.
@@ -83,13 +83,17 @@
 
 impl Frame {
     /// Creates a welcome whose proof covers the hello's nonce and is made with the secret that the hello used.
-    pub(crate) fn proven_welcome(secrets: &Secrets, secret: SecretIndex, nonce: &Nonce) -> Frame {
+    pub(crate) fn welcome_with_proof(
+        secrets: &Secrets,
+        secret: SecretIndex,
+        nonce: &Nonce,
+    ) -> Frame {
         let proof = secrets.prove(secret, ACCEPTING, nonce, &welcome_transcript());
         Frame::Welcome { proof }
     }
 
     /// Reports whether a welcome's proof was made with one of the secrets.
-    pub(crate) fn verifies_welcome(secrets: &Secrets, nonce: &Nonce, proof: &Proof) -> bool {
+    pub(crate) fn verify_welcome(secrets: &Secrets, nonce: &Nonce, proof: &Proof) -> bool {
         let secret = secrets.verify(ACCEPTING, nonce, &welcome_transcript(), proof);
         secret.is_some()
     }
--- a/crates/linenthread-fleet/src/lib.rs
+++ b/crates/linenthread-fleet/src/lib.rs
@@ -1,6 +1,6 @@
 //! Membership and replicated state of a fleet of processes.
 //!
-//! [`Fleet`] is one process of the fleet, a state machine without I/O or clock: it is passed events and the time, and
+//! [`Fleet`] is one process of the fleet, a state machine without I/O or clock: it receives events and the time, and
 //! returns actions; all randomness is derived from a seed. It consists of [`Members`], membership by gossip with
 //! suspicion (SWIM, by `foca`), and [`Voter`], a state replicated among 3, 5 or 7 voters (Raft, by `raft`) with its
 //! disk in a log of `linenthread-store`. All other processes are followers, which receive the values that the voters
@@ -18,7 +18,7 @@
 //! | appended, synced, sent to the other voters | the leader | `voter/ready.rs`, `storage` |
 //! | checked, appended, synced, acknowledged | each other voter | `voter/message_check.rs`, then `voter/ready.rs` |
 //! | committed: on the disks of a majority | the leader, then all voters | Raft |
-//! | applied, where it is still based on the current value | each voter | `voter/ready.rs`, [`StateTable`] |
+//! | applied, if it is still based on the current value | each voter | `voter/ready.rs`, [`StateTable`] |
 //! | forwarded | each voter, to its followers | `fleet/replication.rs` |
 //! | reported as [`FleetAction::Committed`] | each process | the caller |
 //!
--- a/crates/linenthread-fleet/src/members/mod.rs
+++ b/crates/linenthread-fleet/src/members/mod.rs
@@ -134,9 +134,9 @@
     }
 
     /// Selects the member to announce to: a random seed that is not known to be alive, so that two partitions that have
-    /// declared each other down merge again. If all seeds are alive, a random member: after this process had
-    /// to renew its identity, the members that it knows may not accept it, and foca's own timers do not run until it
-    /// receives something.
+    /// declared each other down merge again. If all seeds are alive, a random member: after this process had to renew
+    /// its identity, the members that it knows may not accept it, and foca's own timers do not run until it receives
+    /// something.
     fn announce_target(&mut self) -> Option<NodeIdentity> {
         let is_missing = |seed: &&PeerAddress| !self.alive.contains_key(&seed.name);
         let mut candidates: Vec<NodeIdentity> = self
--- a/crates/linenthread-fleet/src/state_table.rs
+++ b/crates/linenthread-fleet/src/state_table.rs
@@ -160,7 +160,8 @@
         self.values.insert(topic, NumberedValue { number, value });
     }
 
-    /// Adds a voter's identity; earlier identities of the voter are kept.
+    /// Adds a voter's identity and keeps earlier ones. Above [`MAX_VOTER_IDENTITIES`], those with the lowest ids are
+    /// removed.
     pub(crate) fn add_voter_identity(&mut self, identity: &VoterIdentity) {
         while self.voter_identities.len() >= MAX_VOTER_IDENTITIES {
             self.voter_identities.pop_first();
--- a/crates/linenthread-fleet/src/voter/founding.rs
+++ b/crates/linenthread-fleet/src/voter/founding.rs
@@ -102,8 +102,8 @@
             return self.stop(cause, actions);
         }
         if transition != Transition::BecomeFounder {
-            // Votes of this identity before a restart are on its disk. Those of a former identity are not, and do not
-            // count.
+            // It may vote from now on: votes of this identity before a restart are on its disk, and those of a former
+            // identity do not count.
             self.started_at = now;
             self.start_raft(actions);
         }
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -81,7 +81,8 @@
     let leader = cluster.leaders()[0].to_owned();
     isolate(&mut cluster, &leader);
     cluster.run(3);
-    // The partitioned leader's lease has expired, so it rejects a proposal without waiting for Raft's next quorum check.
+    // The partitioned leader's lease has expired, so it rejects a proposal without waiting for Raft's next quorum
+    // check.
     let new = cluster.leaders();
     assert!(new.len() == 1 && new[0] != leader, "{new:?}");
     let mut result = Ok(());
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -263,7 +263,7 @@
 
     /// With any bytes in the directory, opening gives a log or an error and does not panic.
     #[test]
-    fn arbitrary_bytes_are_read_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..400), good in any::<bool>()) {
+    fn any_bytes_are_read_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..400), good in any::<bool>()) {
         let mut disk = SimulatedDisk::default();
         let mut log = Log::open(SimulatedDisk::default()).unwrap().log;
         log.append(b"good").unwrap();
