--- a/crates/linenthread-fleet/src/event.rs
+++ b/crates/linenthread-fleet/src/event.rs
@@ -37,7 +37,7 @@
     VoterChanged(VoterChange),
     /// The voter has stopped because its disk failed, or Raft could not start from it.
     VoterStopped {
-        /// How it failed.
+        /// The error that stopped it.
         cause: StorageError,
     },
     /// A peer's progress report was ignored because the peer is configured with other voters.
@@ -49,7 +49,7 @@
     MessageRejected {
         /// The peer's name.
         peer: String,
-        /// Why.
+        /// Why it was rejected.
         cause: MessageError,
     },
     /// This process was declared down by other members and has refuted it.
--- a/crates/linenthread-store/src/error.rs
+++ b/crates/linenthread-store/src/error.rs
@@ -17,7 +17,7 @@
         file: String,
         /// Offset in the file, in bytes, from which on it is not readable.
         offset: u64,
-        /// What is wrong there.
+        /// What is wrong at that offset.
         reason: String,
     },
     /// The file was written in another version of the format.
