--- a/crates/linenthread-link/src/client/availability.rs
+++ b/crates/linenthread-link/src/client/availability.rs
@@ -4,19 +4,20 @@
 
 use super::{ClientAction, LinkAvailability, LinkClient};
 
-/// Whether the link accepts calls, as last reported to the driver by [`ClientAction::Availability`].
+/// Whether the link accepts calls. Only changes between up and down are reported to the driver, by
+/// [`ClientAction::Availability`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Availability {
     /// The connection is established, and the server accepts calls.
     Up,
-    /// The connection was lost, and may be back within the grace period. Calls are accepted and queued until then.
+    /// The connection was lost less than the grace period ago. Calls are accepted and queued.
     Interrupted { since: TenthMillis },
     /// Calls are rejected.
     Down,
 }
 
 impl Availability {
-    /// As the driver sees it, which is not told of short interruptions.
+    /// Returns the availability reported to the driver, which is not notified of short interruptions.
     fn reported(self) -> LinkAvailability {
         match self {
             Availability::Up | Availability::Interrupted { .. } => LinkAvailability::Up,
@@ -24,12 +25,12 @@
         }
     }
 
-    /// Calls are accepted.
+    /// Reports whether calls are accepted.
     pub(super) fn is_usable(self) -> bool {
         self.reported() == LinkAvailability::Up
     }
 
-    /// When an interrupted link is to be reported as down.
+    /// Returns when an interrupted link is to be reported as down.
     pub(super) fn grace_deadline(self, grace_period: TenthMillis) -> Option<TenthMillis> {
         match self {
             Availability::Interrupted { since } => Some(since + grace_period),
@@ -39,7 +40,8 @@
 }
 
 impl LinkClient {
-    /// The one place where the availability changes; reported to the driver if that makes a difference to calls.
+    /// Sets the availability and reports it to the driver if it changes whether calls are accepted. All changes of the
+    /// availability go through here.
     pub(super) fn set_availability(
         &mut self,
         availability: Availability,
--- a/crates/linenthread-link/src/client/backoff.rs
+++ b/crates/linenthread-link/src/client/backoff.rs
@@ -1,4 +1,4 @@
-//! The wait between two attempts to connect.
+//! The backoff between attempts to connect.
 
 use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::TenthMillis;
@@ -6,14 +6,14 @@
 
 use super::ClientConfig;
 
-/// The wait doubles so many times at most.
+/// The maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// An exponential backoff with jitter.
+/// Exponential backoff with jitter.
 pub(super) struct Backoff {
     min: TenthMillis,
     max: TenthMillis,
-    /// Failures in a row: a connection that has lasted or was of use ends the row.
+    /// Consecutive failures. A connection that lasted longer than `max` or delivered an outcome resets them.
     failures: u32,
 }
 
@@ -26,23 +26,23 @@
         }
     }
 
-    /// Counts a failure. Returns the wait before the next attempt, of which half is random, so that clients don't
-    /// reconnect in step.
+    /// Counts a failure and returns the delay before the next attempt: half the backoff plus a random part up to the whole
+    /// of it, so that clients don't reconnect at the same time.
     pub(super) fn next(&mut self, rng: &mut Rand64) -> TenthMillis {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
-        let wait = (self.min << doublings).min(self.max).max(1);
-        wait / 2 + to_tenth_millis(rng.rand_float() * wait as f64)
+        let backoff = (self.min << doublings).min(self.max).max(1);
+        backoff / 2 + to_tenth_millis(rng.rand_float() * backoff as f64)
     }
 
-    /// A connection was of use: the next failure is not one in a row.
+    /// Resets the count of consecutive failures.
     pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// An established connection has ended after so long.
-    pub(super) fn on_connection_lasted(&mut self, length: TenthMillis) {
-        if length > self.max {
+    /// Handles the end of an established connection that lasted for `duration`.
+    pub(super) fn on_connection_ended(&mut self, duration: TenthMillis) {
+        if duration > self.max {
             self.reset();
         }
     }
--- a/crates/linenthread-link/src/client/call_table.rs
+++ b/crates/linenthread-link/src/client/call_table.rs
@@ -1,4 +1,4 @@
-//! The client's calls that have not completed: queued for credit, or sent and not answered.
+//! The client's pending calls: queued for credit, or sent and without an outcome.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,53 +10,53 @@
 use crate::id::{CallId, CallNumber};
 use crate::time::to_wire_millis;
 
-/// A call that waits for credit, or for the link.
+/// A call that waits for credit or for the connection.
 pub(super) struct QueuedCall {
     pub(super) call: Call,
     pub(super) priority: u32,
-    /// When the caller gives up.
+    /// The caller's deadline.
     pub(super) deadline: TenthMillis,
-    /// Until then it may wait in the queue.
+    /// When the call fails if it is still queued.
     pub(super) queue_deadline: TenthMillis,
 }
 
-/// The queue's order: by descending priority, then by age.
+/// The order of the queue: by descending priority, then oldest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     priority: Reverse<u32>,
     id: CallId,
 }
 
-/// How far a call has come that was handed to a connection.
+/// Whether the frame of a sent call has been written.
 #[derive(Clone, Copy, PartialEq)]
 enum Delivery {
-    /// Not yet written completely: it cannot run.
+    /// Not written completely: the call cannot run.
     Sending,
-    /// Written completely: it may run, also when the connection is gone.
+    /// Written completely: the call may run, even if the connection is lost.
     Written,
 }
 
-/// A call that was handed to a connection of the session.
+/// A call passed to a connection of the session.
 struct SentCall {
     id: CallId,
     delivery: Delivery,
 }
 
-/// Where a call is to be found.
+/// Where a pending call is stored.
 #[derive(Clone, Copy)]
 enum Position {
     Queued(QueueKey),
     Sent(CallNumber),
 }
 
-/// What to do with the first call of the queue.
+/// The first call of the queue, to be sent or failed.
 pub(super) enum NextCall {
     Send(CallRequest),
-    /// Its deadline would pass on the way.
+    /// The call's deadline would pass before it reaches the server.
     Expired(CallId),
 }
 
-/// How far a call had come as it was removed.
+/// The state of a call when it was removed.
 pub(super) enum RemovedCall {
     Queued,
     Sent(CallNumber),
@@ -65,19 +65,19 @@
 /// A sent call of a session that has ended.
 pub(super) struct UnresolvedCall {
     pub(super) id: CallId,
-    /// It was written completely.
+    /// Whether the call was written completely.
     pub(super) may_have_run: bool,
 }
 
-/// Calls that have not completed, and the flow control of the session that they belong to.
+/// The pending calls, and the session's flow control.
 ///
-/// Each call stands in `positions` and in exactly one of `queued` and `sent`. Queued calls belong to no session yet.
+/// Each call is in `positions` and in exactly one of `queued` and `sent`. Queued calls do not belong to a session yet.
 #[derive(Default)]
 pub(super) struct CallTable {
     positions: BTreeMap<CallId, Position>,
     queued: BTreeMap<QueueKey, QueuedCall>,
     sent: BTreeMap<CallNumber, SentCall>,
-    /// The bytes of all queued calls.
+    /// The total size of all queued calls.
     queued_bytes: u64,
     window: SendWindow,
 }
@@ -91,22 +91,22 @@
         self.queued_bytes
     }
 
-    /// How many calls may be in flight by the credit: those that are, and those that may be sent now.
+    /// Returns how many calls the credit allows in flight: those already sent, and those that may be sent now.
     pub(super) fn credit_capacity(&self) -> u64 {
         self.window.remaining_calls() + self.sent.len() as u64
     }
 
-    /// The last call sent in the session.
+    /// Returns the last call sent in the session.
     pub(super) fn last_sent(&self) -> CallNumber {
         self.window.last_sent()
     }
 
-    /// Raises the credit; one that arrives late does not lower it.
+    /// Raises the credit; an outdated update does not lower it.
     pub(super) fn add_credit(&mut self, credit: Credit) {
         self.window.raise(credit);
     }
 
-    /// Adds a call that waits to be sent.
+    /// Adds a call to the queue.
     pub(super) fn enqueue(&mut self, id: CallId, queued: QueuedCall) {
         self.queued_bytes += queued.call.credit_bytes();
         let key = QueueKey {
@@ -117,7 +117,7 @@
         self.queued.insert(key, queued);
     }
 
-    /// Removes a call if it is pending.
+    /// Removes a call; `None` if it is not pending.
     pub(super) fn remove(&mut self, id: CallId) -> Option<RemovedCall> {
         Some(match self.positions.remove(&id)? {
             Position::Queued(key) => {
@@ -131,19 +131,20 @@
         })
     }
 
-    /// The one place where the queue becomes shorter.
+    /// Removes a call from the queue. All removals from the queue go through here.
     fn dequeue(&mut self, key: QueueKey) -> Option<QueuedCall> {
         let queued = self.queued.remove(&key)?;
         self.queued_bytes -= queued.call.credit_bytes();
         Some(queued)
     }
 
-    /// The call that was sent with this number, if it is pending.
+    /// Returns the pending call that was sent with this number.
     pub(super) fn by_number(&self, number: CallNumber) -> Option<CallId> {
         self.sent.get(&number).map(|sent| sent.id)
     }
 
-    /// Takes the first call off the queue if credit allows; `one_way` is how long it takes to arrive.
+    /// Removes and returns the first call of the queue if the credit allows sending it. A call whose deadline would pass
+    /// within the latency `one_way` is reported as expired and stays in the queue.
     pub(super) fn next_to_send(
         &mut self,
         now: TenthMillis,
@@ -173,14 +174,14 @@
         }))
     }
 
-    /// The call's frame has been written completely.
+    /// Records that the call's frame has been written completely.
     pub(super) fn on_written(&mut self, number: CallNumber) {
         if let Some(sent) = self.sent.get_mut(&number) {
             sent.delivery = Delivery::Written;
         }
     }
 
-    /// All calls that are not queued, by their ids.
+    /// Returns all sent calls, in the order of their ids.
     fn sent_calls(&self) -> impl Iterator<Item = &SentCall> {
         self.positions
             .values()
@@ -190,7 +191,7 @@
             })
     }
 
-    /// Sent calls that were not written completely.
+    /// Returns the sent calls that were not written completely.
     pub(super) fn incompletely_written(&self) -> Vec<CallId> {
         self.sent_calls()
             .filter(|sent| sent.delivery == Delivery::Sending)
@@ -198,7 +199,7 @@
             .collect()
     }
 
-    /// Sent calls that the server has not received, given the last one that it has.
+    /// Returns the sent calls that the server has not received, given the last one that it received.
     pub(super) fn not_received(&self, last_received: CallNumber) -> Vec<CallId> {
         self.sent
             .range(last_received.next()..)
@@ -206,12 +207,12 @@
             .collect()
     }
 
-    /// The session resumes at the server's counts; all sent calls that remain have been received.
+    /// Resumes the session at the server's counts; the server must have received all sent calls that remain.
     pub(super) fn resume(&mut self, last_received: CallNumber, received_bytes: u64) {
         self.window.resume(last_received, received_bytes);
     }
 
-    /// All sent calls, whose session has ended.
+    /// Returns all sent calls, for the end of their session.
     pub(super) fn unresolved(&self) -> Vec<UnresolvedCall> {
         self.sent_calls()
             .map(|sent| UnresolvedCall {
@@ -221,12 +222,12 @@
             .collect()
     }
 
-    /// Begins a new session, once all sent calls of the old one have been removed. Queued calls stay.
+    /// Begins a new session. All sent calls of the old one must have been removed; queued calls stay.
     pub(super) fn begin_session(&mut self) {
         self.window = SendWindow::default();
     }
 
-    /// Calls that have waited in the queue for too long.
+    /// Returns the queued calls whose queue deadline has passed.
     pub(super) fn expired(&self, now: TenthMillis) -> Vec<CallId> {
         self.queued
             .iter()
@@ -235,7 +236,7 @@
             .collect()
     }
 
-    /// When the first queued call expires.
+    /// Returns the earliest queue deadline.
     pub(super) fn next_queue_deadline(&self) -> Option<TenthMillis> {
         self.queued
             .values()
--- a/crates/linenthread-link/src/client/calls.rs
+++ b/crates/linenthread-link/src/client/calls.rs
@@ -8,10 +8,10 @@
 use crate::id::{CallId, CallNumber};
 
 impl LinkClient {
-    /// Starts a call that must complete by `deadline`, and returns its id. Where credit is short, calls of a
+    /// Starts a call that must complete by `deadline`, and returns its id. While credit is short, queued calls with a
     /// higher `priority` (in any unit) are sent first.
     ///
-    /// The call may complete at once, by an action that is returned together with the id.
+    /// The call may complete at once, in which case its completion is already among `actions`.
     pub fn call(
         &mut self,
         now: TenthMillis,
@@ -38,7 +38,7 @@
         id
     }
 
-    /// Gives a call up: it does not complete any more.
+    /// Withdraws a call: its completion is not reported any more.
     pub fn withdraw(&mut self, id: CallId, actions: &mut Vec<ClientAction>) {
         let Some(RemovedCall::Sent(number)) = self.calls.remove(id) else {
             return;
@@ -51,12 +51,12 @@
         }
     }
 
-    /// The last byte of a call's frame has been written.
+    /// Handles that the last byte of a call's frame has been written.
     pub fn on_call_written(&mut self, number: CallNumber) {
         self.calls.on_written(number);
     }
 
-    /// Takes in the outcome of a call, and acknowledges it even if the call is not pending any more.
+    /// Handles the outcome of a call, and acknowledges it even if the call is no longer pending.
     pub(super) fn on_outcome(&mut self, outcome: CallOutcome, actions: &mut Vec<ClientAction>) {
         let CallOutcome {
             number,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends what credit allows, in the queue's order; a call that would arrive too late is not sent.
+    /// Sends queued calls in order as far as the credit allows; a call that would arrive after its deadline fails.
     pub(super) fn send_queued(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
         while self.is_ready() {
             match self.calls.next_to_send(now, self.heartbeat.one_way()) {
@@ -92,15 +92,15 @@
         }
     }
 
-    /// Fails queued calls that have waited for too long.
+    /// Fails queued calls whose queue deadline has passed.
     pub(super) fn fail_expired(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
         for id in self.calls.expired(now) {
             self.fail(id, AttemptOutcome::NotSent, actions);
         }
     }
 
-    /// The connection is gone: calls that were not written completely never ran. The others are unknown until the
-    /// session resumes or ends.
+    /// Fails calls that were not written completely when the connection was lost: they never ran. Whether the others ran
+    /// is unknown until the session resumes or ends.
     pub(super) fn fail_incompletely_written(&mut self, actions: &mut Vec<ClientAction>) {
         for id in self.calls.incompletely_written() {
             self.fail(id, AttemptOutcome::NotSent, actions);
@@ -116,7 +116,7 @@
         self.complete(id, failed(id, outcome), actions);
     }
 
-    /// The one place where a pending call completes.
+    /// Completes a call if it is pending. All completions of pending calls go through here.
     fn complete(&mut self, id: CallId, completed: ClientAction, actions: &mut Vec<ClientAction>) {
         if self.calls.remove(id).is_some() {
             actions.push(completed);
@@ -124,7 +124,7 @@
     }
 }
 
-/// A call that has completed without a response.
+/// Builds the completion of a call without a response.
 fn failed(id: CallId, outcome: AttemptOutcome) -> ClientAction {
     ClientAction::CallCompleted {
         id,
--- a/crates/linenthread-link/src/client/connection.rs
+++ b/crates/linenthread-link/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! The connection: opened, lost, closed.
+//! The connection: how it is opened, lost and closed.
 
 use linenthread_core::interface::TenthMillis;
 
@@ -12,31 +12,31 @@
         retry_at: TenthMillis,
     },
     Connecting,
-    /// Connected; until the welcome arrives only the hello is sent.
+    /// Connected; only the hello is sent until the welcome arrives.
     Handshaking {
         since: TenthMillis,
     },
     Established {
         since: TenthMillis,
-        /// The server has said goodbye: nothing new is sent.
+        /// The server has sent a goodbye; no new calls are sent to it.
         server_draining: bool,
     },
 }
 
 impl LinkClient {
-    /// The connection that was asked for by [`ClientAction::Connect`] is open.
+    /// Handles that the connection requested by [`ClientAction::Connect`] has been opened.
     pub fn on_connected(&mut self, now: TenthMillis) {
         self.connection = Connection::Handshaking { since: now };
         self.heartbeat.on_received(now);
     }
 
-    /// The connection has ended, or could not be opened.
+    /// Handles that the connection has ended or could not be opened.
     pub fn on_disconnected(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
         match self.connection {
             Connection::Disconnected { .. } => return,
             Connection::Connecting | Connection::Handshaking { .. } => {}
             Connection::Established { since, .. } => {
-                self.backoff.on_connection_lasted(now - since);
+                self.backoff.on_connection_ended(now - since);
                 if self.availability == Availability::Up {
                     self.set_availability(Availability::Interrupted { since: now }, actions);
                 }
@@ -61,7 +61,7 @@
         self.on_disconnected(now, actions);
     }
 
-    /// Does what the connection's state requires by now: connects, gives up waiting, or sends a ping.
+    /// Connects, closes a connection that has timed out, or sends a ping, if one of these is due.
     pub(super) fn on_connection_timeout(
         &mut self,
         now: TenthMillis,
@@ -88,11 +88,11 @@
         }
     }
 
-    /// When [`LinkClient::on_connection_timeout`] has something to do.
+    /// Returns when [`LinkClient::on_connection_timeout`] must be called next.
     pub(super) fn connection_deadline(&self) -> TenthMillis {
         match self.connection {
             Connection::Disconnected { retry_at } => retry_at,
-            // The driver reports whether it has connected.
+            // The driver reports when the connection is open or has failed.
             Connection::Connecting => TenthMillis::MAX,
             Connection::Handshaking { since } => since + self.heartbeat.idle_timeout(),
             Connection::Established { .. } => self
--- a/crates/linenthread-link/src/client/handshake.rs
+++ b/crates/linenthread-link/src/client/handshake.rs
@@ -9,7 +9,7 @@
 use crate::nonce;
 
 impl LinkClient {
-    /// Replies to the challenge, with a proof that this client knows the secret.
+    /// Replies to the challenge with a hello, which proves that this client knows the secret.
     pub(super) fn on_challenge(
         &mut self,
         now: TenthMillis,
@@ -43,7 +43,7 @@
         actions.push(ClientAction::Send(Frame::Hello(hello)));
     }
 
-    /// The server has accepted the hello: the connection, opened at `connected_at`, is established.
+    /// Handles the server's welcome: establishes the connection, which was opened at `connected_at`.
     pub(super) fn on_welcome(
         &mut self,
         now: TenthMillis,
@@ -56,7 +56,7 @@
         }
         let is_resumed = self.is_resumed_by(welcome);
         if !is_resumed {
-            // The server has restarted or has dropped the session: nothing can be proven of written calls.
+            // The server has restarted or dropped the session: whether written calls ran cannot be determined.
             self.end_session(actions);
         }
         self.session.on_welcome(welcome.epoch);
--- a/crates/linenthread-link/src/client/heartbeat.rs
+++ b/crates/linenthread-link/src/client/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Pings: whether the server is still there, and how far away it is.
+//! Pings, which detect a dead connection and measure the round-trip time.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 
 use super::round_trip::RoundTripEstimate;
 
-/// Unanswered pings that are remembered; older ones don't count for the round-trip time.
+/// The maximum number of unanswered pings that are recorded; older ones are not used for the round-trip time.
 const MAX_PENDING_PINGS: usize = 16;
-/// A connection is idle after so many ping intervals without a frame, and the time of a reply.
+/// A connection is idle if no frame is received for this many ping intervals plus the time-out of a reply.
 const IDLE_PING_INTERVALS: TenthMillis = 2;
-/// The shortest round trip that is taken in: 0 would stand for an unknown one.
+/// The lower bound of a measured round trip, because 0 means that it is unknown.
 const MIN_ROUND_TRIP: TenthMillis = 1;
 
-/// The heartbeat of the connection. The round-trip estimate outlives it, as a first guess for the next one.
+/// The heartbeat of the connection. The round-trip estimate is kept as the initial estimate for the next connection.
 pub(super) struct Heartbeat {
     ping_interval: TenthMillis,
     last_received: TenthMillis,
     last_ping: TenthMillis,
-    /// Unanswered pings by sequence number, and when they were sent.
+    /// When each unanswered ping was sent, by sequence number.
     pending_pings: BTreeMap<u64, TenthMillis>,
     round_trip: RoundTripEstimate,
 }
@@ -34,24 +34,25 @@
         }
     }
 
-    /// A sign of life has arrived: the connection itself, or a frame.
+    /// Records that the connection was opened or a frame was received.
     pub(super) fn on_received(&mut self, now: TenthMillis) {
         self.last_received = now;
     }
 
-    /// The connection is established, so long after it was opened. The first ping is due at once.
+    /// Handles that the connection is established; `handshake` is the time since it was opened. The first ping is due at
+    /// once.
     pub(super) fn on_established(&mut self, now: TenthMillis, handshake: TenthMillis) {
         self.last_ping = now - self.ping_interval;
         self.add_round_trip(handshake);
     }
 
-    /// The connection has ended; pings on it are not answered any more.
+    /// Handles the end of the connection; its unanswered pings are discarded.
     pub(super) fn on_disconnected(&mut self) {
         self.round_trip.widen();
         self.pending_pings.clear();
     }
 
-    /// A ping is sent.
+    /// Records that a ping is sent.
     pub(super) fn on_ping(&mut self, now: TenthMillis, sequence: u64) {
         self.last_ping = now;
         self.pending_pings.insert(sequence, now);
@@ -60,29 +61,29 @@
         }
     }
 
-    /// The answer to a ping has arrived.
+    /// Handles the answer to a ping.
     pub(super) fn on_pong(&mut self, now: TenthMillis, sequence: u64) {
         if let Some(sent_at) = self.pending_pings.remove(&sequence) {
             self.add_round_trip(now - sent_at);
         }
     }
 
-    /// When the next ping is due.
+    /// Returns when the next ping is due.
     pub(super) fn next_ping(&self) -> TenthMillis {
         self.last_ping + self.ping_interval
     }
 
-    /// When the connection is considered dead, if nothing is received until then.
+    /// Returns when the connection is considered dead if nothing more is received.
     pub(super) fn idle_deadline(&self) -> TenthMillis {
         self.last_received + self.idle_timeout()
     }
 
-    /// After so long without a frame the connection is considered dead.
+    /// Returns the time without a received frame after which the connection is considered dead.
     pub(super) fn idle_timeout(&self) -> TenthMillis {
         IDLE_PING_INTERVALS * self.ping_interval + self.round_trip.timeout()
     }
 
-    /// How long a frame takes to the server.
+    /// Returns the estimated one-way latency to the server.
     pub(super) fn one_way(&self) -> TenthMillis {
         self.round_trip.one_way()
     }
--- a/crates/linenthread-link/src/client/mod.rs
+++ b/crates/linenthread-link/src/client/mod.rs
@@ -2,23 +2,23 @@
 //!
 //! | state | event | next |
 //! | --- | --- | --- |
-//! | disconnected | grace period over | as before, and reported as down; new and queued calls fail as never run |
+//! | disconnected | grace period over | disconnected, and reported as down; new and queued calls fail as never run |
 //! | disconnected | backoff over | connecting |
 //! | connecting | connected | handshaking |
 //! | handshaking | challenge | hello is sent |
-//! | handshaking | welcome, session resumed | established; calls that arrived stay pending, the others never ran |
+//! | handshaking | welcome, session resumed | established; calls that the server received stay pending, the others never ran |
 //! | handshaking | welcome, session new | established; calls that were written completely may have run |
 //! | established | idle time-out, unexpected frame, or end of the connection | disconnected; calls not written completely never ran |
-//! | disconnected | session time-out | calls that were written completely may have run |
-//! | established | goodbye | as before; nothing new is sent |
+//! | disconnected | session time-out | disconnected; calls that were written completely may have run |
+//! | established | goodbye | established, and reported as down; no new calls are sent |
 //!
-//! Invariants: *completes once*, a call leaves the table when it completes, and only then; *never ran is proven*,
-//! an outcome that says so is given only to a call that was not written completely, or of which the server says
-//! that it did not arrive.
+//! Invariants: *completes once*, a call leaves the table when it completes or is withdrawn, and only then; *never ran is
+//! proven*, a call that was sent is reported as never run only if it was not written completely, or if the server reports
+//! that it was not received.
 //!
-//! The files, by concern: `connection` (opened, lost, closed), `handshake`, `session` (resumed after an interruption,
-//! or ended), `calls` with its `call_table` and `send_window`, `heartbeat` with its `round_trip`, `replicas` behind the
-//! link, `availability` as the driver sees it, and `backoff`.
+//! Modules: `connection` (opened, lost, closed), `handshake`, `session` (resumed after an interruption, or ended), `calls`
+//! with its `call_table` and `send_window`, `heartbeat` with its `round_trip`, `replicas` (behind the link),
+//! `availability` (as reported to the driver), and `backoff`.
 
 mod availability;
 mod backoff;
@@ -53,8 +53,8 @@
 
 /// The coordinator's end of a link: a state machine without I/O.
 ///
-/// Its driver passes events in and carries out the [`ClientAction`]s that come out; it calls
-/// [`on_timeout`](LinkClient::on_timeout) when [`next_timeout`](LinkClient::next_timeout) has come.
+/// The driver passes events to it and executes the [`ClientAction`]s that they produce. It calls
+/// [`on_timeout`](LinkClient::on_timeout) at the time given by [`next_timeout`](LinkClient::next_timeout).
 pub struct LinkClient {
     config: ClientConfig,
     secrets: Secrets,
@@ -65,20 +65,20 @@
     calls: CallTable,
     heartbeat: Heartbeat,
     backoff: Backoff,
-    /// Hellos sent: the server ignores one that arrives after a newer one.
+    /// The number of hellos sent; the server refuses one that arrives after a newer one.
     hello_attempts: u64,
-    /// What the welcome to the last hello is proven over.
+    /// The nonce of the last hello, for the proof in the welcome.
     nonce: Nonce,
-    /// Health checks that have not completed.
+    /// Pending health checks.
     probes: BTreeSet<ProbeId>,
-    /// The revision of the server's members that was received last.
+    /// The last received revision of the server's members.
     members_revision: u64,
-    /// The last id given to a call, a probe or a ping.
+    /// The last id assigned to a call, a probe or a ping.
     last_id: u64,
 }
 
 impl LinkClient {
-    /// A client that has not connected yet; the seed determines its session, nonces and backoff.
+    /// Creates a client that is not connected; the seed determines its session id, nonces and backoff.
     pub fn new(config: ClientConfig, secrets: Secrets, seed: u64) -> LinkClient {
         let mut rng = Rand64::new(u128::from(seed));
         let session = Session::new(SessionId(rng.rand_u64()));
@@ -100,17 +100,18 @@
         }
     }
 
-    /// Bytes of the calls that wait to be sent.
+    /// Returns the total size of the queued calls, in bytes.
     pub fn queued_bytes(&self) -> u64 {
         self.calls.queued_bytes()
     }
 
-    /// Calls that have not completed.
+    /// Returns the number of pending calls.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// The connection is established, and the server accepts calls: a call is sent as soon as there is credit.
+    /// Reports whether the connection is established and the server accepts calls; a call is then sent as soon as there is
+    /// credit.
     pub fn is_ready(&self) -> bool {
         matches!(
             self.connection,
@@ -121,15 +122,16 @@
         )
     }
 
-    /// Calls are accepted: the link is ready, or was within the grace period.
+    /// Reports whether calls are accepted: the link is ready, or was ready within the grace period.
     pub fn is_usable(&self) -> bool {
         self.availability.is_usable()
     }
 
-    /// The link's state, for the choice among several.
+    /// Returns the link's state, for the selection among several links.
     pub fn status(&self) -> LinkStatus {
         let max_in_flight = self.config.max_in_flight as u64;
-        // One that is expected back is chosen only where no other is up.
+        // The grace period is added to the latency of an interrupted link, so that it is selected only if no other link
+        // is ready.
         let (one_way, capacity) = if self.is_ready() {
             let capacity = self.calls.credit_capacity().min(max_in_flight);
             (self.heartbeat.one_way(), capacity)
@@ -145,7 +147,7 @@
         }
     }
 
-    /// When [`on_timeout`](LinkClient::on_timeout) is to be called next.
+    /// Returns when [`on_timeout`](LinkClient::on_timeout) must be called next.
     pub fn next_timeout(&self) -> TenthMillis {
         [
             self.session_deadline(),
@@ -157,7 +159,7 @@
         .fold(self.connection_deadline(), TenthMillis::min)
     }
 
-    /// Does what is due by now.
+    /// Handles all timers that are due: the session time-out, the grace period, queued calls and the connection.
     pub fn on_timeout(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
         if is_due(self.session_deadline(), now) {
             self.expire_session(now, actions);
@@ -169,14 +171,14 @@
         self.on_connection_timeout(now, actions);
     }
 
-    /// A frame has arrived.
+    /// Handles a received frame.
     pub fn on_frame(&mut self, now: TenthMillis, frame: Frame, actions: &mut Vec<ClientAction>) {
         self.heartbeat.on_received(now);
         match (self.connection, frame) {
             (_, Frame::Refuse { reason }) => {
                 self.close(now, ClientCloseReason::Refused { reason }, actions);
             }
-            // Left over from a connection that is closed here.
+            // Received on a connection that this client has already closed.
             (Connection::Disconnected { .. } | Connection::Connecting, _) => {}
             (Connection::Handshaking { .. }, Frame::Challenge(challenge)) => {
                 self.on_challenge(now, &challenge, actions);
@@ -216,7 +218,7 @@
         }
     }
 
-    /// The server starts nothing new from now on; calls that run are finished.
+    /// Handles a goodbye: the server drains, so no new calls are sent; running calls complete.
     fn on_goodbye(&mut self, established_at: TenthMillis, actions: &mut Vec<ClientAction>) {
         self.connection = Connection::Established {
             since: established_at,
@@ -243,14 +245,14 @@
         self.availability.grace_deadline(self.config.grace_period)
     }
 
-    /// An id for a call, a probe or a ping.
+    /// Returns a new id for a call, a probe or a ping.
     fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 }
 
-/// Whether a moment, if there is one, is now or was before.
-fn is_due(moment: Option<TenthMillis>, now: TenthMillis) -> bool {
-    moment.is_some_and(|moment| moment <= now)
+/// Reports whether there is a deadline and it has been reached.
+fn is_due(deadline: Option<TenthMillis>, now: TenthMillis) -> bool {
+    deadline.is_some_and(|deadline| deadline <= now)
 }
--- a/crates/linenthread-link/src/client/replicas.rs
+++ b/crates/linenthread-link/src/client/replicas.rs
@@ -7,7 +7,8 @@
 use crate::id::ProbeId;
 
 impl LinkClient {
-    /// Checks the health of a replica behind the link; [`ClientAction::ProbeCompleted`] may or may not follow.
+    /// Starts a health check of a replica behind the link. [`ClientAction::ProbeCompleted`] follows when the server reports
+    /// the outcome or the connection ends, or at once if the probe cannot be sent.
     pub fn probe(&mut self, replica: String, actions: &mut Vec<ClientAction>) -> ProbeId {
         let id = ProbeId(self.next_id());
         if self.is_ready() && self.probes.len() < self.config.max_in_flight {
@@ -19,7 +20,7 @@
         id
     }
 
-    /// Passes an outcome on, unless the probe has completed before.
+    /// Reports the outcome of a probe, unless the probe has already completed.
     pub(super) fn on_probe_outcome(
         &mut self,
         outcome: &ProbeOutcome,
@@ -34,14 +35,14 @@
         }
     }
 
-    /// The connection is gone: no outcome of a probe on it can arrive any more.
+    /// Fails all pending probes when the connection has ended, because their outcomes can no longer arrive.
     pub(super) fn fail_probes(&mut self, actions: &mut Vec<ClientAction>) {
         let probes = std::mem::take(&mut self.probes);
         let lost = |id| failed(id, AttemptOutcome::ConnectionLost);
         actions.extend(probes.into_iter().map(lost));
     }
 
-    /// Passes on the complete list, or a change that follows on the last one.
+    /// Reports a complete list, or changes with the next revision. After a missed revision the connection is closed.
     pub(super) fn on_members(
         &mut self,
         now: TenthMillis,
@@ -70,7 +71,7 @@
     }
 }
 
-/// A health check that has completed without an answer.
+/// Builds the completion of a health check without an answer.
 fn failed(id: ProbeId, outcome: AttemptOutcome) -> ClientAction {
     ClientAction::ProbeCompleted {
         id,
--- a/crates/linenthread-link/src/client/round_trip.rs
+++ b/crates/linenthread-link/src/client/round_trip.rs
@@ -1,13 +1,13 @@
-//! An estimate of the round-trip time, smoothed as TCP does it (RFC 6298).
+//! Estimation of the round-trip time, smoothed as in TCP (RFC 6298).
 
 use linenthread_core::conversion::to_tenth_millis;
 use linenthread_core::interface::TenthMillis;
 
-/// Weight of a new sample in the mean: 1 / 8.
+/// The weight of a new sample in the mean is 1 / 8.
 const MEAN_DIVISOR: f64 = 8.0;
-/// Weight of a new sample in the deviation: 1 / 4.
+/// The weight of a new sample in the deviation is 1 / 4.
 const DEVIATION_DIVISOR: f64 = 4.0;
-/// So many deviations above the mean a reply is considered overdue.
+/// A reply is overdue this many deviations above the mean.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
 
 /// The smoothed round-trip time and its mean deviation, in tenths of a millisecond; 0 before the first sample.
@@ -18,7 +18,7 @@
 }
 
 impl RoundTripEstimate {
-    /// Takes in one measured round trip.
+    /// Adds a measured round trip.
     pub(super) fn add_sample(&mut self, elapsed: TenthMillis) {
         let sample = elapsed as f64;
         if self.mean == 0.0 {
@@ -29,17 +29,17 @@
         }
     }
 
-    /// After a lost connection the next round trips may be quite different from the last.
+    /// Raises the deviation to at least the mean, because round trips on the next connection may differ widely.
     pub(super) fn widen(&mut self) {
         self.deviation = self.mean.max(self.deviation);
     }
 
-    /// Half the round trip.
+    /// Returns half the round-trip time.
     pub(super) fn one_way(&self) -> TenthMillis {
         to_tenth_millis(self.mean / 2.0)
     }
 
-    /// A reply that takes longer than this is overdue.
+    /// Returns the time after which a reply is overdue.
     pub(super) fn timeout(&self) -> TenthMillis {
         to_tenth_millis(self.mean + TIMEOUT_DEVIATIONS * self.deviation)
     }
--- a/crates/linenthread-link/src/frame/call.rs
+++ b/crates/linenthread-link/src/frame/call.rs
@@ -6,7 +6,7 @@
 use super::error::{FrameError, UnknownOutcomeSnafu};
 use crate::id::{CallNumber, ProbeId};
 
-/// Bytes that a call counts against the credit beside its texts, for its record at the server.
+/// The bytes that a call uses of the credit in addition to its texts, for its record at the server.
 const CALL_OVERHEAD_BYTES: usize = 64;
 
 /// A sub-request to a replica behind the link.
@@ -14,30 +14,30 @@
 pub struct Call {
     /// The replica's id, as the server lists it.
     pub replica: String,
-    /// The id of the query that the sub-request belongs to.
+    /// The id of the sub-request's query.
     pub query: String,
-    /// The shard that is queried.
+    /// The queried shard.
     pub shard: u32,
-    /// How many times the shard was queried before for the same query, for further results.
+    /// How many times the same query has queried the shard before, to get further results.
     pub continuation: u32,
     /// The sub-request's text.
     pub text: String,
 }
 
 impl Call {
-    /// The bytes that count against the credit.
+    /// Returns how many bytes of the credit the call uses.
     pub fn credit_bytes(&self) -> u64 {
         let bytes = self.replica.len() + self.query.len() + self.text.len() + CALL_OVERHEAD_BYTES;
         bytes as u64
     }
 }
 
-/// A call as it is sent.
+/// A call with its number and remaining time, as sent to the server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallRequest {
     /// The call's number in its session.
     pub number: CallNumber,
-    /// Milliseconds until the caller gives up, less the way to the server.
+    /// Milliseconds until the caller's deadline, less the time that the frame takes to the server.
     pub remaining_ms: u32,
     /// The call.
     pub call: Call,
@@ -76,7 +76,7 @@
     pub number: CallNumber,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Sub-requests that the replica says it has queued, where it does.
+    /// The number of sub-requests queued at the replica, if it reports it.
     pub queue_depth: Option<f64>,
     /// The response; empty if there is none.
     pub value: String,
@@ -107,7 +107,7 @@
     pub id: ProbeId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// Sub-requests that the replica says it has queued, where it does.
+    /// The number of sub-requests queued at the replica, if it reports it.
     pub queue_depth: Option<f64>,
 }
 
@@ -127,7 +127,6 @@
     }
 }
 
-/// The outcome as a byte of a frame.
 fn outcome_code(outcome: AttemptOutcome) -> u8 {
     match outcome {
         AttemptOutcome::Success => 0,
--- a/crates/linenthread-link/src/frame/handshake.rs
+++ b/crates/linenthread-link/src/frame/handshake.rs
@@ -1,6 +1,6 @@
 //! The frames that establish a connection: challenge, hello, welcome.
 //!
-//! Each end proves that it knows a shared secret by an HMAC over the other's nonce and its own frame.
+//! Each end proves that it knows a shared secret by an HMAC over the other end's nonce and its own frame.
 
 use linenthread_frames::{
     Decoder, Encoder, Nonce, Proof, ProofDomain, SecretIndex, Secrets, without_proof,
@@ -9,21 +9,21 @@
 use super::{Frame, FrameError};
 use crate::id::{CallNumber, SessionId};
 
-/// Names the end that proves: the proof of one end is not valid for the other. These bytes go into the HMAC.
+/// Domain separation: a proof made by one end is not valid for the other. These bytes are input to the HMAC.
 const CLIENT: ProofDomain = *b"linenthread near";
 const SERVER: ProofDomain = *b"linenthread far ";
 
-/// The secret with which a client proves itself: the first one that is configured.
+/// The secret that a client makes its proof with: the first one configured.
 const CLIENT_SECRET: SecretIndex = SecretIndex::FIRST;
 
 /// The first frame on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Challenge {
-    /// The lowest version that the server speaks.
+    /// The lowest version that the server supports.
     pub min_version: u8,
-    /// The highest version that the server speaks.
+    /// The highest version that the server supports.
     pub max_version: u8,
-    /// What the hello is proven over.
+    /// The nonce for the proof in the hello.
     pub nonce: Nonce,
     /// The server's name.
     pub name: String,
@@ -32,34 +32,34 @@
 /// The client's reply to the challenge.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Hello {
-    /// The version that the client has chosen.
+    /// The version chosen by the client.
     pub version: u8,
     /// The client's name.
     pub name: String,
-    /// What the welcome is proven over.
+    /// The nonce for the proof in the welcome.
     pub nonce: Nonce,
-    /// The session that is to be resumed or begun.
+    /// The session to resume or to begin.
     pub session: SessionId,
-    /// How many hellos the client has sent, this one included.
+    /// The number of hellos that the client has sent, including this one.
     pub attempt: u64,
-    /// The session's epoch as the client knows it; 0 for none.
+    /// The session's epoch, or 0 if the client does not know it yet.
     pub epoch: u64,
-    /// Proves the knowledge of the secret.
+    /// Proves that the sender knows the secret.
     pub proof: Proof,
 }
 
 /// The server's reply to the hello.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Welcome {
-    /// The session's epoch, chosen by the server as the session began.
+    /// The session's epoch, chosen by the server when the session began.
     pub epoch: u64,
-    /// The session goes on; otherwise it is new to the server.
+    /// Whether the session is resumed; otherwise it is new to the server.
     pub resumed: bool,
-    /// The last call of the session that the server has received.
+    /// The last call that the server has received in the session.
     pub last_call: CallNumber,
-    /// The bytes of all calls of the session that the server has received.
+    /// The bytes of all calls that the server has received in the session.
     pub received_bytes: u64,
-    /// Proves the knowledge of the secret.
+    /// Proves that the sender knows the secret.
     pub proof: Proof,
 }
 
@@ -104,13 +104,13 @@
         })
     }
 
-    /// Sets the proof for a server that has sent this nonce.
+    /// Sets the proof, for a server that sent this nonce.
     pub(crate) fn prove(&mut self, secrets: &Secrets, server_nonce: &Nonce) {
         let transcript = transcript(&Frame::Hello(self.clone()));
         self.proof = secrets.prove(CLIENT_SECRET, CLIENT, server_nonce, &transcript);
     }
 
-    /// Which of the secrets the proof was made with, if it was made with one of them.
+    /// Returns the secret that the proof was made with; `None` if it was made with none of them.
     pub(crate) fn proven_by(&self, secrets: &Secrets, server_nonce: &Nonce) -> Option<SecretIndex> {
         let transcript = transcript(&Frame::Hello(self.clone()));
         secrets.verify(CLIENT, server_nonce, &transcript, &self.proof)
@@ -136,13 +136,13 @@
         })
     }
 
-    /// Sets the proof for a client that has sent this nonce, with the secret that the client has used.
+    /// Sets the proof, for a client that sent this nonce, with the secret that the client used.
     pub(crate) fn prove(&mut self, secrets: &Secrets, secret: SecretIndex, client_nonce: &Nonce) {
         let transcript = transcript(&Frame::Welcome(self.clone()));
         self.proof = secrets.prove(secret, SERVER, client_nonce, &transcript);
     }
 
-    /// Whether the proof was made with one of the secrets.
+    /// Reports whether the proof was made with one of the secrets.
     pub(crate) fn is_proven(&self, secrets: &Secrets, client_nonce: &Nonce) -> bool {
         let transcript = transcript(&Frame::Welcome(self.clone()));
         secrets
@@ -151,7 +151,7 @@
     }
 }
 
-/// What a hello or a welcome is proven over: its encoding without the proof, which is its last field.
+/// Returns the bytes that the proof of a hello or a welcome covers: its encoding without the proof, its last field.
 fn transcript(frame: &Frame) -> Vec<u8> {
     without_proof(frame.encode())
 }
--- a/crates/linenthread-link/src/frame/member.rs
+++ b/crates/linenthread-link/src/frame/member.rs
@@ -1,4 +1,4 @@
-//! The replicas that a server reaches.
+//! The replicas that a server can reach.
 
 use linenthread_core::interface::Phase;
 use linenthread_frames::{Decoder, Encoder};
@@ -6,32 +6,32 @@
 use super::MAX_MEMBERS;
 use super::error::{FrameError, TooManyMembersSnafu, UnknownPhaseSnafu};
 
-/// The longest replica id or zone name in bytes.
+/// The maximum length of a replica id or a zone name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// Stands for "long ago" where a frame gives a replica's age.
+/// The encoding of an age that is not known because the replica started long ago.
 const AGE_UNKNOWN: u32 = u32::MAX;
-/// The complete share of a slow-start budget, in thousandths.
+/// The whole slow-start budget, in thousandths.
 const MAX_SHARE: u16 = 1_000;
 
-/// A replica that the server reaches.
+/// A replica that the server can reach.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its id.
+    /// The replica's id.
     pub id: String,
-    /// The zone that it stands in.
+    /// The replica's zone.
     pub zone: String,
-    /// The replica group that it belongs to, from 0: replicas of one group hold the same shards.
+    /// The replica group, from 0; replicas of the same group hold the same shards.
     pub replica_group: u32,
-    /// Whether it accepts calls.
+    /// Whether the replica accepts calls.
     pub phase: Phase,
-    /// Milliseconds since it last started; `None` for long ago.
+    /// Milliseconds since the replica last started; `None` if that was long ago.
     pub age_ms: Option<u32>,
-    /// The share of its slow-start budget that the client may use, in thousandths.
+    /// The share of the replica's slow-start budget that the client may use, in thousandths.
     pub slow_start_share: u16,
 }
 
 impl Member {
-    /// Whether it can be a replica of a layout with so many replica groups, and its names are of a valid length.
+    /// Reports whether its names have a valid length and its replica group is below `replica_groups`.
     pub fn is_valid(&self, replica_groups: usize) -> bool {
         let id_length = 1..=MAX_NAME_BYTES;
         id_length.contains(&self.id.len())
@@ -60,14 +60,14 @@
     }
 }
 
-/// The server's list of replicas, or what has changed of it.
+/// The server's list of replicas, or the changes to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembersUpdate {
-    /// Counts the changes of the list since the server's start.
+    /// The number of changes to the list since the server's start.
     pub revision: u64,
-    /// This is the complete list; otherwise the replicas that are new, have changed or are gone.
+    /// Whether this is the complete list; otherwise it has only new, changed and removed replicas.
     pub complete: bool,
-    /// The replicas; at most [`MAX_MEMBERS`] are sent.
+    /// The replicas; only the first [`MAX_MEMBERS`] are sent.
     pub members: Vec<Member>,
 }
 
@@ -98,7 +98,6 @@
     }
 }
 
-/// The phase as a byte of a frame.
 fn phase_code(phase: Phase) -> u8 {
     match phase {
         Phase::Ready => 0,
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -1,9 +1,9 @@
 //! The messages of the protocol and their encoding.
 //!
-//! A frame is four bytes of length, most significant first, one byte for its kind, and its fields. Numbers are
-//! big-endian; texts have two bytes of length before them, values four. Options may follow the fields, each one
-//! byte for its kind and two for its length: unknown ones are skipped. `docs/link.md` has worked examples, which
-//! the tests compare with what is sent.
+//! A frame consists of its length in four bytes, one byte for its kind, and its fields. Numbers are big-endian. A text
+//! is preceded by its length in two bytes; the text of a call and the value of an outcome by a length in four bytes.
+//! Options may follow the fields, each with its kind in one byte, its length in two, and its content; unknown options
+//! are skipped. `docs/link.md` has worked examples, which the tests compare with the encoding.
 
 mod call;
 mod error;
@@ -20,14 +20,14 @@
 pub use handshake::{Challenge, Hello, Welcome};
 pub use member::{Member, MembersUpdate};
 
-/// The protocol version that this crate speaks.
+/// The protocol version that this crate implements.
 pub const VERSION: u8 = 1;
-/// The longest frame in bytes, without its length field; a longer one ends the connection.
+/// The maximum length of a frame in bytes, without its length field; a longer one ends the connection.
 pub const MAX_FRAME_LENGTH: usize = 128 * 1024;
-/// The most replicas in one [`MembersUpdate`]; further ones are not sent.
+/// The maximum number of replicas in a [`MembersUpdate`]; further ones are not sent.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// The byte that says which frame it is.
+/// The byte that encodes the kind of a frame.
 mod kind {
     pub(super) const CHALLENGE: u8 = 1;
     pub(super) const HELLO: u8 = 2;
@@ -49,78 +49,79 @@
 /// One message of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// From the server, first on a connection.
+    /// Sent by the server as the first frame on a connection.
     Challenge(Challenge),
-    /// From the client, in reply to the challenge.
+    /// Sent by the client in reply to the challenge.
     Hello(Hello),
-    /// From the server, in reply to the hello; the connection is established.
+    /// Sent by the server in reply to the hello; the connection is established.
     Welcome(Welcome),
-    /// From either: the connection is closed by its sender.
+    /// Sent by either end when it closes the connection for a fault of its peer.
     Refuse {
-        /// Why, for the peer's log.
+        /// The reason, for the peer's log.
         reason: String,
     },
-    /// From the client: run a call.
+    /// Sent by the client to run a call.
     Call(CallRequest),
-    /// From the client: the outcome of a call is no longer wanted.
+    /// Sent by the client when it no longer needs the outcome of a call.
     Withdraw {
         /// The call.
         number: CallNumber,
     },
-    /// From the server: how a call ended.
+    /// Sent by the server when a call has ended.
     Outcome(CallOutcome),
-    /// From the client: these outcomes have arrived and need not be retained.
+    /// Sent by the client to acknowledge outcomes, which the server then need not retain.
     Ack {
-        /// The calls; at most 65,535 are sent.
+        /// The calls; only the first 65,535 are sent.
         numbers: Vec<CallNumber>,
     },
-    /// From the server: flow control. Both limits count from the session's start.
+    /// Sent by the server for flow control. Both limits count from the session's start.
     Credit(Credit),
-    /// From either: asks for a pong.
+    /// Sent by either end to request a pong.
     Ping {
-        /// Repeated in the pong.
+        /// Returned in the pong.
         sequence: u64,
     },
-    /// The answer to a ping.
+    /// Sent in reply to a ping.
     Pong {
-        /// The ping's.
+        /// The ping's sequence number.
         sequence: u64,
     },
-    /// From the server: which replicas it reaches.
+    /// Sent by the server to list the replicas that it can reach.
     Members(MembersUpdate),
-    /// From the client: check a replica's health.
+    /// Sent by the client to check a replica's health.
     Probe {
-        /// Repeated in the answer.
+        /// Returned with the outcome.
         id: ProbeId,
         /// The replica's id, as the server lists it.
         replica: String,
     },
-    /// From the server: the answer to a probe.
+    /// Sent by the server with the outcome of a probe.
     Probed(ProbeOutcome),
-    /// From either: the sender starts nothing new and accepts nothing new; what runs is finished.
+    /// Sent by either end when it drains: it starts and accepts nothing new, but running calls complete.
     Goodbye,
 }
 
-/// What a client may have sent of a session, counted from the session's start.
+/// How much a client may send in a session, counted from the session's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Credit {
     /// The last call that may be sent.
     pub last_call: CallNumber,
-    /// The bytes of calls that may be sent, see [`Call::credit_bytes`].
+    /// The bytes of calls that may be sent; see [`Call::credit_bytes`].
     pub bytes: u64,
 }
 
 impl Frame {
-    /// The encoded frame, its length first.
+    /// Encodes the frame, with its length in front.
     pub fn encode(&self) -> Vec<u8> {
         frames::encode_frame(self.kind(), |encoder| self.encode_fields(encoder))
     }
 
-    /// The first complete frame in what was read, and how many bytes it occupies; `None` if more must be read.
+    /// Decodes the first frame in the bytes read, and returns it with the number of bytes that it occupies; `None` if it
+    /// is incomplete.
     ///
     /// # Errors
     ///
-    /// The bytes cannot be a frame; the connection cannot be used further.
+    /// Fails if the bytes are not a valid frame; the connection can no longer be used.
     pub fn decode(read: &[u8]) -> Result<Option<(Frame, usize)>, FrameError> {
         let Some(first) = frames::first_frame(read, MAX_FRAME_LENGTH)? else {
             return Ok(None);
@@ -131,11 +132,11 @@
         )))
     }
 
-    /// Removes all complete frames from the front of `read`, in order, and passes each to `receive`.
+    /// Removes all complete frames from the front of `read` and passes each to `receive`, in order.
     ///
     /// # Errors
     ///
-    /// The bytes cannot be a frame; those before it have been passed on.
+    /// Fails at the first invalid frame; `receive` has been called for the frames before it.
     pub fn drain(read: &mut Vec<u8>, mut receive: impl FnMut(Frame)) -> Result<(), FrameError> {
         frames::drain_frames(read, MAX_FRAME_LENGTH, |fields| {
             receive(Frame::decode_fields(fields)?);
@@ -230,7 +231,7 @@
 }
 
 fn encode_ack(numbers: &[CallNumber], encoder: &mut Encoder) {
-    // No more than the count can say.
+    // The count is two bytes wide, so that no more numbers can be sent.
     encoder.count(numbers.len());
     for number in numbers.iter().take(usize::from(u16::MAX)) {
         encoder.u64(number.0);
--- a/crates/linenthread-link/src/lib.rs
+++ b/crates/linenthread-link/src/lib.rs
@@ -1,16 +1,16 @@
-//! The protocol between a coordinator and a gateway in another zone: calls to replicas that only the gateway
-//! reaches. Each call completes exactly once with an honest outcome, whatever becomes of the connection.
+//! The protocol between a coordinator and a gateway in another zone, for calls to replicas that only the gateway can
+//! reach. Each call completes exactly once, with an accurate outcome even if the connection is lost.
 //!
-//! [`LinkClient`] is the coordinator's end: it dials and sends calls. [`LinkServer`] is the gateway's end: it
-//! accepts connections and runs calls. Both are state machines without I/O or clock: events and `now` go in,
-//! actions come out, and random numbers come from a seed. [`frame`] holds the messages, which `docs/link.md`
-//! describes byte by byte. [`routing`] chooses among several links that lead to the same replica.
+//! [`LinkClient`] is the coordinator's end: it connects and sends calls. [`LinkServer`] is the gateway's end: it
+//! accepts connections and runs calls. Both are state machines without I/O or a clock: they take events and the
+//! current time and return actions, and their random numbers come from a seed. [`frame`] defines the messages, which
+//! `docs/link.md` describes byte by byte. [`routing`] selects one of several links to the same replica.
 //!
-//! A call that may have run is never reported as not having run: "never ran" is the outcome only of a call whose
-//! frame was not written completely, or of which the server says that it did not arrive or was not forwarded.
+//! A call that may have run is never reported as not run: that outcome is given only to a call whose frame was not
+//! written completely, or that the server reports as not received or not forwarded.
 //!
-//! The crate knows nothing of sockets, settings or the choice of a replica; those are the business of
-//! `linenthread-service`. Start reading at [`frame::Frame`], then [`LinkClient`].
+//! Sockets, settings and the choice of a replica are handled by `linenthread-service`. Start reading at
+//! [`frame::Frame`], then [`LinkClient`].
 
 mod client;
 pub mod frame;
--- a/crates/linenthread-link/src/routing.rs
+++ b/crates/linenthread-link/src/routing.rs
@@ -1,20 +1,20 @@
-//! The choice among several links that lead to the same replica.
+//! Selection among several links to the same replica.
 //!
-//! What is a property of the link is judged here once for all replicas behind it: whether it is usable, its latency,
-//! and how much of its credit is in use. A call takes the link with the lowest expected cost; the link chosen
-//! last keeps the calls while no other is better by more than a quarter, so that calls don't alternate between
-//! two equal links. Where several servers list one replica, the most conservative values apply.
+//! The criteria are properties of the link and the same for all replicas behind it: whether it is usable, its latency,
+//! and how much of its credit is in use. A call is sent on the link with the lowest expected cost. The link selected
+//! last is kept while its cost is at most 1.25 times the lowest, so that calls don't alternate between two equal links.
+//! If several servers list the same replica, the most conservative of their values apply.
 
 use linenthread_core::interface::{Phase, TenthMillis};
 
 use crate::frame::Member;
 
-/// A link's state, for the choice among several.
+/// A link's state, as input to [`select_link`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkStatus {
-    /// It accepts calls: it is ready, or was within the grace period.
+    /// Whether the link accepts calls: it is ready, or was ready within the grace period.
     pub is_usable: bool,
-    /// The time of a frame one way, in tenths of a millisecond; 0 while unknown.
+    /// The one-way latency in tenths of a millisecond; 0 while unknown.
     pub one_way: TenthMillis,
     /// Calls that have not completed.
     pub in_flight: u64,
@@ -22,23 +22,23 @@
     pub capacity: u64,
 }
 
-/// The link chosen last is kept while its cost is at most this multiple of the lowest.
+/// The link selected last is kept while its cost is at most this multiple of the lowest.
 const STICKINESS: f64 = 1.25;
-/// Added to each link's latency, in tenths of a millisecond: differences far below it don't matter.
+/// Added to each link's latency, in tenths of a millisecond, so that much smaller differences have little effect.
 const LATENCY_FLOOR: f64 = 5.0;
-/// Utilization counts up to here, so that the cost of a full link stays finite.
+/// Utilization is capped at this value, so that the cost of a full link stays finite.
 const MAX_UTILIZATION: f64 = 0.95;
 
-/// The expected cost of a call on a link: its latency, multiplied by a factor that grows with the utilization.
+/// Estimates the cost of a call on a link: the latency, multiplied by a factor that grows with the utilization.
 fn cost(status: &LinkStatus) -> f64 {
     let utilization = status.in_flight as f64 / status.capacity.max(1) as f64;
     (status.one_way as f64 + LATENCY_FLOOR) * (1.0 + utilization)
         / (1.0 - utilization.min(MAX_UTILIZATION))
 }
 
-/// The link to use of those that lead to a replica; `None` if none is usable and has capacity.
+/// Selects one of the links to a replica; `None` if no link is usable and has capacity.
 ///
-/// `status` tells the state of a link by its number; `last` is the one chosen before.
+/// `status` returns the state of a link by its number; `last` is the link selected last.
 pub fn select_link(
     links: &[usize],
     status: impl Fn(usize) -> Option<LinkStatus>,
@@ -61,8 +61,8 @@
     Some(sticky.map_or(best, |(link, _)| *link))
 }
 
-/// Merges what several servers report of one replica: it drains if one says so, is as young as the lowest age,
-/// and the lowest share of its slow-start budget applies. `None` if all report it as gone.
+/// Merges the reports of several servers about the same replica: it is draining if one report says so, and the lowest
+/// age and the lowest share of its slow-start budget apply. `None` if all report it as removed.
 pub fn merge_reports<'m>(reports: impl Iterator<Item = &'m Member>) -> Option<Member> {
     reports
         .filter(|report| report.phase != Phase::Removed)
--- a/crates/linenthread-link/src/server/calls.rs
+++ b/crates/linenthread-link/src/server/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and their outcomes, and the credit that they use.
+//! Calls, their outcomes, and the credit that they use.
 
 use linenthread_core::interface::AttemptOutcome;
 
@@ -8,7 +8,8 @@
 use crate::time::from_wire_millis;
 
 impl LinkServer {
-    /// A call that was started by [`ServerAction::StartCall`] has ended.
+    /// Handles the end of a call that was started by [`ServerAction::StartCall`]: retains its outcome and sends it if the
+    /// session is connected.
     pub fn on_call_completed(
         &mut self,
         id: SessionId,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Starts a call that is the session's next. A reason in `Err` is why the connection is refused.
+    /// Starts a call if it is the session's next. `Err` has the reason for which the connection is to be refused.
     pub(super) fn on_call(
         &mut self,
         id: SessionId,
@@ -42,7 +43,7 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return Ok(());
         };
-        // Runs once: a call that was received before is not started again.
+        // *runs once*: a call that was received before is not started again.
         if session.has_received(number) {
             return Ok(());
         }
@@ -52,7 +53,7 @@
         }
         session.start(number, bytes);
         if self.draining {
-            // The client has sent it before it received the goodbye.
+            // The client sent it before it received the goodbye.
             self.on_call_completed(id, rejected(number), actions);
         } else {
             actions.push(ServerAction::StartCall {
@@ -65,7 +66,7 @@
         Ok(())
     }
 
-    /// The client does not want the outcome any more.
+    /// Cancels a call if it is running, and drops its outcome.
     pub(super) fn on_withdraw(
         &mut self,
         id: SessionId,
@@ -82,7 +83,8 @@
         self.release(id, number, actions);
     }
 
-    /// The client has the outcome. A number whose call still runs is ignored: its outcome was not sent yet.
+    /// Drops an outcome that the client has received. A number whose call is still running is ignored: its outcome was
+    /// not sent yet.
     pub(super) fn on_ack(
         &mut self,
         id: SessionId,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Drops a call, and gives its credit back.
+    /// Drops a call and returns its credit.
     fn release(&mut self, id: SessionId, number: CallNumber, actions: &mut Vec<ServerAction>) {
         let session = self.sessions.get_mut(&id);
         if session.is_some_and(|session| session.release(number)) {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Sends the credit to the session's connection, if it has one and there is enough that is new.
+    /// Sends a credit update if the session is connected and enough of the window has become free.
     pub(super) fn send_credit(&mut self, id: SessionId, actions: &mut Vec<ServerAction>) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -118,7 +120,7 @@
     }
 }
 
-/// The outcome of a call that was not started.
+/// Builds the outcome of a call that was not started.
 fn rejected(number: CallNumber) -> CallOutcome {
     CallOutcome {
         number,
--- a/crates/linenthread-link/src/server/config.rs
+++ b/crates/linenthread-link/src/server/config.rs
@@ -1,4 +1,4 @@
-//! What the server is configured with, and what it asks its driver to do.
+//! The server's configuration, and the actions that it requests from its driver.
 
 use linenthread_core::interface::TenthMillis;
 use snafu::Snafu;
@@ -11,60 +11,60 @@
 pub struct ServerConfig {
     /// The server's name, for the client's log.
     pub name: String,
-    /// The most calls of a session that run or whose outcome is retained.
+    /// The maximum number of calls of a session that are running or whose outcome is retained.
     pub window_calls: u64,
-    /// The most bytes of these calls.
+    /// The maximum total size of these calls, in bytes.
     pub window_bytes: u64,
-    /// How long a session without a connection is retained.
+    /// How long a session is retained without a connection.
     pub session_timeout: TenthMillis,
-    /// The most sessions; a client beyond them is refused.
+    /// The maximum number of sessions; further clients are refused.
     pub max_sessions: usize,
-    /// The time in which a connection must prove that it knows the secret.
+    /// The time within which a client must prove that it knows the secret.
     pub handshake_timeout: TenthMillis,
-    /// An established connection on which nothing is received for so long is closed.
+    /// How long an established connection may receive nothing before it is closed.
     pub idle_timeout: TenthMillis,
 }
 
-/// What the driver of a [`LinkServer`](super::LinkServer) is to do.
+/// An action for the driver of a [`LinkServer`](super::LinkServer).
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerAction {
-    /// Write this frame.
+    /// Write a frame.
     Send {
-        /// Where to.
+        /// The connection to write to.
         connection: ConnectionId,
-        /// What.
+        /// The frame to write.
         frame: Frame,
     },
-    /// Close the connection, after what was to be written before.
+    /// Close a connection, after the frames that are still to be written.
     Close {
-        /// Which one.
+        /// The connection to close.
         connection: ConnectionId,
-        /// Why.
+        /// The reason, for the log.
         reason: ServerCloseReason,
     },
-    /// Forward a call to its replica, and report its end by [`LinkServer::on_call_completed`].
+    /// Forward a call to its replica, and report its outcome by [`LinkServer::on_call_completed`].
     ///
     /// [`LinkServer::on_call_completed`]: super::LinkServer::on_call_completed
     StartCall {
-        /// The session that it belongs to.
+        /// The call's session.
         session: SessionId,
-        /// Its number in the session.
+        /// The call's number in the session.
         number: CallNumber,
         /// How long the client waits for its outcome, in tenths of a millisecond.
         timeout: TenthMillis,
         /// The call.
         call: Call,
     },
-    /// The outcome of a running call is no longer wanted.
+    /// Cancel a running call; its outcome is no longer needed.
     CancelCall {
-        /// The session that it belongs to.
+        /// The call's session.
         session: SessionId,
-        /// Its number in the session.
+        /// The call's number in the session.
         number: CallNumber,
     },
-    /// Check a replica's health, and send the outcome as [`Frame::Probed`].
+    /// Check a replica's health and send the outcome as [`Frame::Probed`].
     Probe {
-        /// Where the outcome goes to.
+        /// The connection to send the outcome to.
         connection: ConnectionId,
         /// The probe's id.
         id: ProbeId,
@@ -73,41 +73,41 @@
     },
 }
 
-/// Why a server closes a connection. Except for `Superseded` and `SessionDropped`, which are only logged, the texts are
-/// sent to the client in [`Frame::Refuse`]: they are wire format.
+/// The reason for which a server closes a connection. The texts are sent to the client in [`Frame::Refuse`] and are part
+/// of the wire format, except those of `Superseded` and `SessionDropped`, which are only logged.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum ServerCloseReason {
     /// The first frame was not a hello.
     #[snafu(display("a hello must come first"))]
     HelloExpected,
-    /// The client has chosen a version that this server does not speak.
+    /// The client chose a version that this server does not support.
     #[snafu(display("no such version is spoken here"))]
     UnsupportedVersion,
     /// The client's proof is wrong.
     #[snafu(display("the hello does not prove that it knows the secret"))]
     Unauthenticated,
-    /// A newer hello of the session came before this one.
+    /// A newer hello of the session was received before this one.
     #[snafu(display("the session has said a newer hello"))]
     StaleHello,
-    /// As many sessions are retained as may be.
+    /// The maximum number of sessions is retained.
     #[snafu(display("no room for a session"))]
     TooManySessions,
-    /// The client has established another connection for the session.
+    /// The client established a newer connection for the session.
     #[snafu(display("the session continues on another connection"))]
     Superseded,
-    /// A call that is not the session's next, or that exceeds the credit.
+    /// A call is not the session's next, or exceeds the credit.
     #[snafu(display("a call beyond its turn or its credit"))]
     UnexpectedCall,
-    /// A frame that only a server sends.
+    /// The client sent a frame of a kind that it must not send in this state.
     #[snafu(display("a frame that has no place here"))]
     UnexpectedFrame,
-    /// Nothing was received for the handshake's time-out or the idle time-out.
+    /// The handshake did not complete in time, or nothing was received within the idle time-out.
     #[snafu(display("nothing is heard"))]
     IdleTimeout,
-    /// The session is dropped.
+    /// The session was dropped.
     #[snafu(display("the session was dropped"))]
     SessionDropped,
-    /// The client has refused the connection.
+    /// The client refused the connection.
     #[snafu(display("{reason}"))]
     Refused {
         /// The client's reason.
--- a/crates/linenthread-link/src/server/connection.rs
+++ b/crates/linenthread-link/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! The connections: accepted, closed, refused.
+//! Connections: how they are accepted, closed and refused.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::Nonce;
@@ -12,9 +12,9 @@
 /// The state of a connection.
 #[derive(Clone, Copy)]
 pub(super) enum Connection {
-    /// The client has to prove that it knows the secret, over this nonce.
+    /// The client has to prove that it knows the secret, with a proof over this nonce.
     Challenged { nonce: Nonce, since: TenthMillis },
-    /// The client has proven itself.
+    /// The client has proven that it knows the secret.
     Established {
         session: SessionId,
         last_received: TenthMillis,
@@ -22,7 +22,7 @@
 }
 
 impl Connection {
-    /// When it is closed if nothing is received.
+    /// Returns when the connection is closed if nothing more is received.
     pub(super) fn deadline(&self, config: &ServerConfig) -> TenthMillis {
         match self {
             Connection::Challenged { since, .. } => since + config.handshake_timeout,
@@ -32,7 +32,7 @@
 }
 
 impl LinkServer {
-    /// A connection was accepted.
+    /// Handles a newly accepted connection: sends the challenge.
     pub fn on_accepted(
         &mut self,
         now: TenthMillis,
@@ -52,7 +52,7 @@
         actions.push(ServerAction::Send { connection, frame });
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection: its session is retained for the session time-out.
     pub fn on_disconnected(&mut self, now: TenthMillis, connection: ConnectionId) {
         if let Some(Connection::Established { session, .. }) = self.connections.remove(&connection)
             && let Some(session) = self.sessions.get_mut(&session)
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Closes connections that are idle, or do not complete their handshake.
+    /// Closes connections that are idle or have not completed their handshake in time.
     pub(super) fn close_idle(&mut self, now: TenthMillis, actions: &mut Vec<ServerAction>) {
         let idle: Vec<ConnectionId> = self
             .connections
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Closes a connection for a fault of its client, which is sent the reason.
+    /// Closes a connection for a fault of its client, and sends the reason to the client.
     pub(super) fn refuse(
         &mut self,
         now: TenthMillis,
@@ -90,7 +90,7 @@
         self.on_disconnected(now, connection);
     }
 
-    /// The connections of all sessions that have one.
+    /// Returns the connections of all sessions that have one.
     pub(super) fn established(&self) -> impl Iterator<Item = ConnectionId> {
         self.sessions.values().filter_map(Session::connection)
     }
--- a/crates/linenthread-link/src/server/handshake.rs
+++ b/crates/linenthread-link/src/server/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake: the first frame of a connection, and what a client is sent in reply.
+//! The handshake: the first frame received on a connection, and the reply to it.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_frames::{Nonce, SecretIndex};
@@ -9,7 +9,7 @@
 use crate::id::{ConnectionId, SessionId};
 
 impl LinkServer {
-    /// Takes in the first frame of a connection. A reason in `Err` is why the connection is refused.
+    /// Handles the first frame received on a connection. `Err` has the reason for which the connection is to be refused.
     pub(super) fn establish(
         &mut self,
         now: TenthMillis,
@@ -32,11 +32,11 @@
         let Some(session) = self.sessions.get_mut(&hello.session) else {
             return Ok(());
         };
-        let older = session.attach(connection, hello.attempt);
+        let superseded = session.attach(connection, hello.attempt);
         let mut welcome = session.welcome(is_resumed);
         welcome.prove(&self.secrets, secret, &hello.nonce);
-        if let Some(older) = older {
-            self.supersede(older, actions);
+        if let Some(superseded) = superseded {
+            self.close_superseded(superseded, actions);
         }
         let established = Connection::Established {
             session: hello.session,
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    /// Which secret the hello is proven with, or why it is refused.
+    /// Returns the secret that the hello is proven with, or the reason to refuse it.
     fn verify(&self, hello: &Hello, nonce: &Nonce) -> Result<SecretIndex, ServerCloseReason> {
         if hello.version != VERSION {
             return Err(ServerCloseReason::UnsupportedVersion);
@@ -55,7 +55,7 @@
         let secret = hello
             .proven_by(&self.secrets, nonce)
             .ok_or(ServerCloseReason::Unauthenticated)?;
-        // A hello that was long on its way would take the session from a newer connection.
+        // A delayed hello would take the session away from a newer connection.
         let is_stale = self
             .sessions
             .get(&hello.session)
@@ -66,17 +66,17 @@
         Ok(secret)
     }
 
-    /// Closes a session's older connection: nothing counts any more that may still arrive on it, so that what the
-    /// welcome says of the session stays true.
-    fn supersede(&mut self, older: ConnectionId, actions: &mut Vec<ServerAction>) {
-        self.connections.remove(&older);
+    /// Closes a session's older connection. Frames that still arrive on it are ignored, so that the session's state as
+    /// stated in the welcome remains correct.
+    fn close_superseded(&mut self, connection: ConnectionId, actions: &mut Vec<ServerAction>) {
+        self.connections.remove(&connection);
         actions.push(ServerAction::Close {
-            connection: older,
+            connection,
             reason: ServerCloseReason::Superseded,
         });
     }
 
-    /// Sends a new connection all that its client needs to go on.
+    /// Sends the session's state on a new connection: the welcome, the members, unacknowledged outcomes and the credit.
     fn send_session_state(
         &mut self,
         connection: ConnectionId,
--- a/crates/linenthread-link/src/server/members.rs
+++ b/crates/linenthread-link/src/server/members.rs
@@ -1,11 +1,11 @@
-//! The replicas that the server reaches.
+//! The replicas that the server can reach.
 
 use linenthread_core::interface::Phase;
 
 use super::{LinkServer, ServerAction};
 use crate::frame::{Frame, Member, MembersUpdate};
 
-/// The replicas, and how often they have changed since the server's start.
+/// The replicas, and the number of changes to them since the server's start.
 #[derive(Default)]
 pub(super) struct Membership {
     members: Vec<Member>,
@@ -13,7 +13,7 @@
 }
 
 impl Membership {
-    /// Replaces the replicas; what has changed, if anything has.
+    /// Replaces the replicas; returns the changes, or `None` if there are none.
     fn replace(&mut self, members: Vec<Member>) -> Option<MembersUpdate> {
         if members == self.members {
             return None;
@@ -28,7 +28,7 @@
         })
     }
 
-    /// The complete list, for a new connection.
+    /// Returns the complete list, for a new connection.
     pub(super) fn complete_update(&self) -> MembersUpdate {
         MembersUpdate {
             revision: self.revision,
@@ -39,7 +39,7 @@
 }
 
 impl LinkServer {
-    /// Sets the replicas that this server reaches; all clients are sent what has changed.
+    /// Sets the replicas that this server can reach, and sends the changes to all clients.
     pub fn set_members(&mut self, members: Vec<Member>, actions: &mut Vec<ServerAction>) {
         let Some(update) = self.membership.replace(members) else {
             return;
@@ -51,16 +51,16 @@
     }
 }
 
-/// The members that are new or have changed, then those that are gone.
+/// Returns the members that are new or have changed, then those that were removed.
 fn changed_members(old: &[Member], new: &[Member]) -> Vec<Member> {
     let changed = new.iter().filter(|member| !old.contains(member)).cloned();
     let is_listed = |id: &str| new.iter().any(|member| member.id == id);
-    let gone = old
+    let removed = old
         .iter()
         .filter(|member| !is_listed(&member.id))
         .map(|member| Member {
             phase: Phase::Removed,
             ..member.clone()
         });
-    changed.chain(gone).collect()
+    changed.chain(removed).collect()
 }
--- a/crates/linenthread-link/src/server/mod.rs
+++ b/crates/linenthread-link/src/server/mod.rs
@@ -1,24 +1,24 @@
-//! The gateway's end of all links that lead to it.
+//! The gateway's end of its links.
 //!
-//! A session is independent of the connection that it has at the moment. A call that arrives under a number of
-//! the session runs once, and its outcome is retained until the client acknowledges it, within bounds in number
-//! (the credit) and in time (the session time-out).
+//! A session can outlive its connection. A call runs once for each number of the session, and its outcome is retained
+//! until the client acknowledges it. The credit limits the number of retained calls, and the session time-out how long
+//! they are retained without a connection.
 //!
 //! | connection | event | next |
 //! | --- | --- | --- |
 //! | new | - | challenged |
-//! | challenged | proven hello of a session that is retained | its older connection is closed; welcome, outcomes again |
-//! | challenged | proven hello of another session | welcome to a new session, within the limit of sessions |
+//! | challenged | proven hello of a retained session | its older connection is closed; welcome, unacknowledged outcomes are sent again |
+//! | challenged | proven hello of another session | welcome to a new session, if the limit of sessions allows it |
 //! | challenged | anything else, or handshake time-out | refused and closed |
 //! | established | the session's next call | runs; it uses credit until its outcome is acknowledged |
-//! | established | a call that is not the next | closed: frames cannot be missing within a connection |
-//! | any | end of the connection | the session is retained for its time-out |
+//! | established | a call after a gap in the numbers | refused and closed: frames cannot be missing within a connection |
+//! | any | end of the connection | the session is retained for the session time-out |
 //!
-//! Invariants: *runs once*, a number of a session is started at most once; *retained until acknowledged*, an
+//! Invariants: *runs once*, at most one call is started for each number of a session; *retained until acknowledged*, an
 //! outcome is dropped only when it is acknowledged or withdrawn, or with its session.
 //!
-//! The files, by concern: `connection` (accepted, closed, refused), `handshake`, `session_lifetime` (begun, dropped),
-//! `calls` of a `session` with its `receive_window`, and the `members` that clients are sent.
+//! Modules: `connection` (accepted, closed, refused), `handshake`, `session_lifetime` (begun, dropped), `calls`,
+//! `session` with its `receive_window`, and `members` (the replicas reported to clients).
 
 mod calls;
 mod config;
@@ -43,10 +43,10 @@
 use members::Membership;
 use session::Session;
 
-/// The gateway's end of all links that lead to it: a state machine without I/O.
+/// The gateway's end of its links: a state machine without I/O.
 ///
-/// Its driver passes events in and carries out the [`ServerAction`]s that come out; it calls
-/// [`on_timeout`](LinkServer::on_timeout) when [`next_timeout`](LinkServer::next_timeout) has come.
+/// The driver passes events to it and executes the [`ServerAction`]s that they produce. It calls
+/// [`on_timeout`](LinkServer::on_timeout) at the time given by [`next_timeout`](LinkServer::next_timeout).
 pub struct LinkServer {
     config: ServerConfig,
     secrets: Secrets,
@@ -54,13 +54,13 @@
     sessions: BTreeMap<SessionId, Session>,
     connections: BTreeMap<ConnectionId, Connection>,
     membership: Membership,
-    /// Nothing new is started.
+    /// Calls that arrive are rejected; running calls complete.
     draining: bool,
 }
 
 impl LinkServer {
-    /// A server that has just started. Its seed must be new with each start: the epochs of its sessions derive
-    /// from it, and distinguish them from those of an earlier incarnation.
+    /// Creates a server without connections and sessions. The seed must differ at each start: the sessions' epochs derive
+    /// from it and distinguish them from sessions before a restart.
     pub fn new(config: ServerConfig, secrets: Secrets, seed: u64) -> LinkServer {
         LinkServer {
             config,
@@ -73,17 +73,17 @@
         }
     }
 
-    /// Calls that run or whose outcome is retained, over all sessions.
+    /// Returns the number of calls in all sessions that are running or whose outcome is retained.
     pub fn retained_calls(&self) -> usize {
         self.sessions.values().map(Session::retained_calls).sum()
     }
 
-    /// Sessions that are retained, connected or not.
+    /// Returns the number of retained sessions, connected or not.
     pub fn sessions(&self) -> usize {
         self.sessions.len()
     }
 
-    /// When [`on_timeout`](LinkServer::on_timeout) is to be called next.
+    /// Returns when [`on_timeout`](LinkServer::on_timeout) must be called next.
     pub fn next_timeout(&self) -> TenthMillis {
         let connections = self
             .connections
@@ -99,13 +99,14 @@
             .unwrap_or(TenthMillis::MAX)
     }
 
-    /// Closes connections that are idle, and drops sessions that have been without one for too long.
+    /// Closes connections that are idle or have not completed their handshake in time, and drops sessions that have had
+    /// no connection for the session time-out.
     pub fn on_timeout(&mut self, now: TenthMillis, actions: &mut Vec<ServerAction>) {
         self.close_idle(now, actions);
         self.drop_expired_sessions(now, actions);
     }
 
-    /// Starts nothing new from now on; calls that run are finished.
+    /// Starts draining: notifies all clients; new calls are rejected, and running calls complete.
     pub fn start_draining(&mut self, actions: &mut Vec<ServerAction>) {
         self.draining = true;
         actions.extend(self.established().map(|connection| ServerAction::Send {
@@ -114,7 +115,7 @@
         }));
     }
 
-    /// A frame has arrived.
+    /// Handles a received frame.
     pub fn on_frame(
         &mut self,
         now: TenthMillis,
@@ -123,7 +124,7 @@
         actions: &mut Vec<ServerAction>,
     ) {
         match self.connections.get_mut(&id) {
-            // Left over from a connection that is closed here.
+            // Received on a connection that this server has already closed.
             None => {}
             Some(Connection::Challenged { nonce, .. }) => {
                 let nonce = *nonce;
--- a/crates/linenthread-link/src/server/receive_window.rs
+++ b/crates/linenthread-link/src/server/receive_window.rs
@@ -1,42 +1,41 @@
-//! Flow control: what a session has received, and how much more its client may send.
+//! Flow control: how much a session has received, and how much more its client may send.
 
 use super::ServerConfig;
 use crate::frame::Credit;
 use crate::id::CallNumber;
 
-/// Credit is sent again once so much of the window has become free: a quarter.
+/// A credit update is sent once more than this fraction (a quarter) of the window has become free.
 const CREDIT_UPDATE_DIVISOR: u64 = 4;
 
-/// The server's side of the flow control. All counts begin with the session, as do those of [`Credit`].
+/// The server's side of the flow control. All counts start with the session, as those of [`Credit`] do.
 #[derive(Default)]
 pub(super) struct ReceiveWindow {
-    /// The last call that was received.
     last_call: CallNumber,
-    /// Bytes of all calls that were received.
+    /// Total size of all received calls.
     received_bytes: u64,
-    /// Bytes of all calls that were released.
+    /// Total size of all released calls.
     released_bytes: u64,
-    /// The credit that was last sent on the present connection.
+    /// The credit last sent on the current connection.
     sent_credit: Credit,
 }
 
 impl ReceiveWindow {
-    /// The last call that was received.
+    /// Returns the last call received.
     pub(super) fn last_call(&self) -> CallNumber {
         self.last_call
     }
 
-    /// Bytes of all calls that were received.
+    /// Returns the total size of all received calls, in bytes.
     pub(super) fn received_bytes(&self) -> u64 {
         self.received_bytes
     }
 
-    /// A new connection, to which no credit has been sent.
+    /// Handles a new connection, on which no credit has been sent yet.
     pub(super) fn on_connected(&mut self) {
         self.sent_credit = Credit::default();
     }
 
-    /// Whether a call is the next one by number and fits the window, beside so many that are retained.
+    /// Reports whether a call has the next number and fits the window in addition to the retained calls.
     pub(super) fn admits(
         &self,
         number: CallNumber,
@@ -50,18 +49,18 @@
             && retained_bytes + bytes <= config.window_bytes
     }
 
-    /// A call of so many bytes was received.
+    /// Records a received call of this size.
     pub(super) fn receive(&mut self, number: CallNumber, bytes: u64) {
         self.last_call = number;
         self.received_bytes += bytes;
     }
 
-    /// A call of so many bytes is not retained any more.
+    /// Records that a call of this size is no longer retained.
     pub(super) fn release(&mut self, bytes: u64) {
         self.released_bytes += bytes;
     }
 
-    /// The credit to send, if enough of the window has become free since it was last sent.
+    /// Returns the credit to send, if enough of the window has become free since it was last sent.
     pub(super) fn credit_update(
         &mut self,
         retained_calls: u64,
--- a/crates/linenthread-link/src/server/session.rs
+++ b/crates/linenthread-link/src/server/session.rs
@@ -1,4 +1,4 @@
-//! One client's session: its calls with their outcomes, and its flow control.
+//! A client's session: its calls and their outcomes, and its flow control.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,16 @@
 use crate::frame::{CallOutcome, Credit, Welcome};
 use crate::id::{CallNumber, ConnectionId};
 
-/// How far a call has come.
 enum CallState {
     Running,
     /// Its outcome is retained until the client acknowledges it.
     Completed(CallOutcome),
 }
 
-/// A call whose outcome the client does not have.
+/// A call that is running or whose outcome the client has not acknowledged.
 struct RetainedCall {
     state: CallState,
-    /// What it counts against the credit.
+    /// The bytes of the credit that the call uses.
     bytes: u64,
 }
 
@@ -27,17 +26,17 @@
 #[derive(Clone, Copy)]
 enum Attachment {
     Connected(ConnectionId),
-    /// It began, or lost its connection, at this moment.
+    /// The session began, or lost its connection, at `since`.
     Detached {
         since: TenthMillis,
     },
 }
 
-/// A session, whatever connection it has at the moment.
+/// A session, with or without a connection.
 pub(super) struct Session {
-    /// Chosen at random as the session began, so that a dropped session is not taken for a later one of its id.
+    /// Chosen at random when the session began, to distinguish it from an earlier session with the same id.
     pub(super) epoch: u64,
-    /// The number of the newest hello.
+    /// The attempt number of the newest hello.
     pub(super) hello_attempt: u64,
     attachment: Attachment,
     calls: BTreeMap<CallNumber, RetainedCall>,
@@ -55,7 +54,7 @@
         }
     }
 
-    /// The connection that it has.
+    /// Returns the current connection, if there is one.
     pub(super) fn connection(&self) -> Option<ConnectionId> {
         match self.attachment {
             Attachment::Connected(connection) => Some(connection),
@@ -63,7 +62,7 @@
         }
     }
 
-    /// When it is to be dropped, if it stays without a connection.
+    /// Returns when the session is dropped if it remains without a connection.
     pub(super) fn deadline(&self, session_timeout: TenthMillis) -> Option<TenthMillis> {
         match self.attachment {
             Attachment::Connected(_) => None,
@@ -71,27 +70,27 @@
         }
     }
 
-    /// Goes on on another connection; returns the older one.
+    /// Continues on another connection; returns the superseded one, if there was one.
     pub(super) fn attach(
         &mut self,
         connection: ConnectionId,
         hello_attempt: u64,
     ) -> Option<ConnectionId> {
-        let older = self.connection();
+        let superseded = self.connection();
         self.attachment = Attachment::Connected(connection);
         self.hello_attempt = hello_attempt;
         self.window.on_connected();
-        older
+        superseded
     }
 
-    /// A connection has ended; it may be an older one than the session has.
+    /// Handles the end of a connection; ignored if the session has a newer one.
     pub(super) fn detach(&mut self, connection: ConnectionId, now: TenthMillis) {
         if self.connection() == Some(connection) {
             self.attachment = Attachment::Detached { since: now };
         }
     }
 
-    /// What the welcome to a new connection says of the session, without the proof.
+    /// Builds the welcome for a new connection, without the proof.
     pub(super) fn welcome(&self, resumed: bool) -> Welcome {
         Welcome {
             epoch: self.epoch,
@@ -102,12 +101,12 @@
         }
     }
 
-    /// Calls that run or whose outcome is retained.
+    /// Returns the number of calls that are running or whose outcome is retained.
     pub(super) fn retained_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// The outcomes that the client has not acknowledged.
+    /// Returns the outcomes that the client has not acknowledged.
     pub(super) fn unacknowledged(&self) -> impl Iterator<Item = CallOutcome> {
         self.calls.values().filter_map(|call| match &call.state {
             CallState::Completed(outcome) => Some(outcome.clone()),
@@ -115,18 +114,18 @@
         })
     }
 
-    /// Whether a call was received before, retained or not.
+    /// Reports whether a call was received before, even if it is no longer retained.
     pub(super) fn has_received(&self, number: CallNumber) -> bool {
         number <= self.window.last_call()
     }
 
-    /// Whether a call is the next one by number and within the window.
+    /// Reports whether a call has the next number and fits the window.
     pub(super) fn admits(&self, number: CallNumber, bytes: u64, config: &ServerConfig) -> bool {
         let retained_calls = self.calls.len() as u64;
         self.window.admits(number, bytes, retained_calls, config)
     }
 
-    /// Records a call that runs from now on.
+    /// Records a call as running.
     pub(super) fn start(&mut self, number: CallNumber, bytes: u64) {
         self.window.receive(number, bytes);
         let call = RetainedCall {
@@ -136,7 +135,7 @@
         self.calls.insert(number, call);
     }
 
-    /// Records the outcome of a running call; false if no such call runs.
+    /// Records the outcome of a running call; returns false if there is no such call.
     pub(super) fn complete(&mut self, outcome: &CallOutcome) -> bool {
         let call = self.calls.get_mut(&outcome.number);
         let Some(call) = call.filter(|call| matches!(call.state, CallState::Running)) else {
@@ -163,7 +162,7 @@
             .map(|(number, _)| *number)
     }
 
-    /// The one place where a session drops a call; false if it has no such call.
+    /// Drops a call; returns false if there is no such call. All removals of calls go through here.
     pub(super) fn release(&mut self, number: CallNumber) -> bool {
         let Some(call) = self.calls.remove(&number) else {
             return false;
@@ -172,7 +171,7 @@
         true
     }
 
-    /// The credit to send, if enough of the window has become free since it was last sent.
+    /// Returns the credit to send, if enough of the window has become free since it was last sent.
     pub(super) fn credit_update(&mut self, config: &ServerConfig) -> Option<Credit> {
         let retained_calls = self.calls.len() as u64;
         self.window.credit_update(retained_calls, config)
--- a/crates/linenthread-link/src/server/session_lifetime.rs
+++ b/crates/linenthread-link/src/server/session_lifetime.rs
@@ -1,4 +1,4 @@
-//! Sessions begin with a hello, and end when they have been without a connection for too long.
+//! The start of a session with a hello, and its end after the session time-out without a connection.
 
 use linenthread_core::interface::TenthMillis;
 
@@ -7,7 +7,7 @@
 use crate::id::SessionId;
 
 impl LinkServer {
-    /// Begins a session, in place of an older one of the same id.
+    /// Begins a session; an older one with the same id is dropped.
     pub(super) fn begin_session(
         &mut self,
         now: TenthMillis,
@@ -18,13 +18,13 @@
         if self.sessions.len() >= self.config.max_sessions {
             return Err(ServerCloseReason::TooManySessions);
         }
-        // 0 stands for no epoch.
+        // Clients send epoch 0 for a session that is not known to the server.
         let epoch = self.rng.rand_u64().max(1);
         self.sessions.insert(id, Session::new(epoch, now));
         Ok(())
     }
 
-    /// Drops sessions that have been without a connection for too long.
+    /// Drops sessions that have had no connection for the session time-out.
     pub(super) fn drop_expired_sessions(
         &mut self,
         now: TenthMillis,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Drops a session with its outcomes; its running calls are cancelled, and its connection is closed.
+    /// Drops a session and its outcomes, cancels its running calls and closes its connection.
     fn drop_session(&mut self, id: SessionId, actions: &mut Vec<ServerAction>) {
         let Some(session) = self.sessions.remove(&id) else {
             return;
