--- a/crates/linenthread-frames/src/decoder.rs
+++ b/crates/linenthread-frames/src/decoder.rs
@@ -1,12 +1,12 @@
-//! Bytes taken apart to fields.
+//! Decoding of fields.
 
 use snafu::{OptionExt, Snafu, ensure};
 
-/// Why bytes are no fields. A connection that carried them is of no more use.
+/// An error in decoding fields. The connection that the bytes were received on can no longer be used.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DecodeError {
-    /// The bytes end before the field does.
+    /// The bytes end within a field.
     #[snafu(display("a frame ends within a field"))]
     Truncated,
     /// A text is not UTF-8.
@@ -15,16 +15,16 @@
     /// A flag is neither 0 nor 1.
     #[snafu(display("a flag cannot be {value}"))]
     InvalidFlag {
-        /// The byte that stands for the flag.
+        /// The byte that encodes the flag.
         value: u8,
     },
     /// Bytes are left after the last field.
     #[snafu(display("{count} bytes too many"))]
     TrailingBytes {
-        /// How many.
+        /// The number of bytes left.
         count: usize,
     },
-    /// A frame states a length of 0, or one over the connection's limit.
+    /// The length of a frame is 0 or exceeds the connection's limit.
     #[snafu(display("a frame cannot be of {length} bytes"))]
     InvalidLength {
         /// The stated length in bytes.
@@ -32,18 +32,18 @@
     },
 }
 
-/// Takes fields off the front of bytes; no field is longer than what is there.
+/// Decodes fields from the front of a byte slice. Lengths are checked against the remaining bytes before use.
 #[derive(Clone, Debug)]
 pub struct Decoder<'a>(&'a [u8]);
 
-/// All methods fail with [`DecodeError::Truncated`] where the bytes end within the field.
+/// All methods that decode a field fail with [`DecodeError::Truncated`] if the bytes end within it.
 impl<'a> Decoder<'a> {
-    /// From these bytes.
+    /// Creates a decoder that starts at the first byte.
     pub fn new(bytes: &'a [u8]) -> Decoder<'a> {
         Decoder(bytes)
     }
 
-    /// So many bytes as they are.
+    /// Returns the next `count` bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -53,7 +53,7 @@
         Ok(field)
     }
 
-    /// An array as it is.
+    /// Returns the next `N` bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -63,7 +63,7 @@
         Ok(*field)
     }
 
-    /// One byte.
+    /// Decodes a number of one byte.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -71,7 +71,7 @@
         self.array().map(u8::from_be_bytes)
     }
 
-    /// Two bytes.
+    /// Decodes a number of two bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -79,7 +79,7 @@
         self.array().map(u16::from_be_bytes)
     }
 
-    /// Four bytes.
+    /// Decodes a number of four bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -87,7 +87,7 @@
         self.array().map(u32::from_be_bytes)
     }
 
-    /// Eight bytes.
+    /// Decodes a number of eight bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -95,7 +95,7 @@
         self.array().map(u64::from_be_bytes)
     }
 
-    /// One byte, 0 or 1.
+    /// Decodes a flag of one byte, 0 or 1.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`], [`DecodeError::InvalidFlag`].
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Bytes behind their length in four bytes.
+    /// Decodes bytes preceded by their length in four bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -116,7 +116,7 @@
         self.raw(length as usize)
     }
 
-    /// A text behind its length in two bytes.
+    /// Decodes a text preceded by its length in two bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`], [`DecodeError::InvalidUtf8`].
@@ -125,7 +125,7 @@
         self.utf8(length.into())
     }
 
-    /// A text behind its length in four bytes.
+    /// Decodes a text preceded by its length in four bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`], [`DecodeError::InvalidUtf8`].
@@ -139,7 +139,7 @@
         Ok(text.context(InvalidUtf8Snafu)?.to_owned())
     }
 
-    /// A number that may be absent; a negative one is read as 0.
+    /// Decodes an optional number of eight bytes. A number that is not finite is absent, and a negative one is read as 0.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -148,7 +148,8 @@
         Ok(number.is_finite().then_some(number.max(0.0)))
     }
 
-    /// Skips options of later versions, each a kind, a length in two bytes and that many bytes, to the end.
+    /// Skips the remaining bytes, which must be options of later versions: each has a kind in one byte, a length in two, and
+    /// that many bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -161,17 +162,17 @@
         Ok(())
     }
 
-    /// Whether nothing is left.
+    /// Reports whether no bytes are left.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// How many bytes are left.
+    /// Returns the number of bytes left.
     pub fn remaining(&self) -> usize {
         self.0.len()
     }
 
-    /// Checks that nothing is left.
+    /// Checks that no bytes are left.
     ///
     /// # Errors
     /// [`DecodeError::TrailingBytes`].
--- a/crates/linenthread-frames/src/lib.rs
+++ b/crates/linenthread-frames/src/lib.rs
@@ -1,12 +1,12 @@
-//! Frames between linenthread's own programs, and the proof that the peer knows a shared secret.
+//! The encoding of frames between linenthread's own programs, and proofs that a peer knows a shared secret.
 //!
-//! A frame is its length in four bytes, one byte for its kind, and fields; all numbers are big-endian. This package
-//! knows the encoding of fields, the splitting of a stream into frames, and proofs. It must not know what any frame
-//! means: the packages that define frames (`linenthread-link`, `linenthread-fleet`) build on it. The same fields
-//! also make up records on disk and values in the fleet's record.
+//! A frame consists of its length in four bytes, one byte for its kind, and fields; all numbers are big-endian. This crate
+//! encodes and decodes fields, splits a stream into frames, and makes and verifies proofs. It does not interpret frames:
+//! they are defined by the crates that use it (`linenthread-link`, `linenthread-fleet`). Records on disk and values in the
+//! fleet's record use the same encoding of fields.
 //!
-//! Start reading at [`Encoder`] and [`Decoder`]; [`encode_frame`] and [`drain_frames`] are how connections use them,
-//! and [`Secrets`] holds the proofs.
+//! Start reading at [`Encoder`] and [`Decoder`]. Connections use [`encode_frame`] and [`drain_frames`], and [`Secrets`]
+//! makes and verifies proofs.
 
 mod decoder;
 mod encoder;
--- a/crates/linenthread-frames/src/proof.rs
+++ b/crates/linenthread-frames/src/proof.rs
@@ -1,39 +1,39 @@
 //! Proofs that a peer knows a shared secret.
 //!
-//! Each side proves it over a nonce that the other has just made up, so that a recorded handshake proves nothing.
+//! Each peer makes its proof over a fresh nonce of the other, so that a recorded handshake cannot be replayed.
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use snafu::{Snafu, ensure};
 
-/// Random bytes that a side makes up for its peer's proof.
+/// Random bytes that a program generates for its peer's proof.
 pub type Nonce = [u8; 16];
 
 /// An HMAC-SHA-256 over the domain, the nonce and the message.
 pub type Proof = [u8; 32];
 
-/// Names a protocol and the role in it, so that a proof of one role is none for another.
+/// Identifies a protocol and a role in it, so that a proof made in one role is not valid for another.
 pub type ProofDomain = [u8; 16];
 
-/// Which of the configured secrets is meant, by its position.
+/// The position of a secret among the configured ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SecretIndex(pub usize);
 
 impl SecretIndex {
-    /// The first, which proves what is not an answer to a peer that has proven itself with another one.
+    /// The first secret, used for proofs unless the peer has already proven itself with another one.
     pub const FIRST: SecretIndex = SecretIndex(0);
 }
 
-/// The shortest secret in bytes: a shorter one could be guessed.
+/// The minimum length of a secret in bytes; a shorter one could be guessed.
 pub const MIN_SECRET_LENGTH: usize = 16;
 
-/// There is no secret, or one of them is too short.
+/// The error that there is no secret, or that one of them is too short.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("a secret needs {MIN_SECRET_LENGTH} bytes or more"))]
 pub struct SecretError;
 
-/// The secrets between programs. The first is used for proofs, all are accepted, so that two are valid while one is
-/// replaced.
+/// The secrets shared between programs. Proofs are made with the first, and all are accepted, so that a secret can be
+/// replaced while both the old and the new one are valid.
 #[derive(Clone, PartialEq)]
 pub struct Secrets(Vec<Vec<u8>>);
 
@@ -44,21 +44,21 @@
 }
 
 impl Secrets {
-    /// From one secret or more.
+    /// Takes one secret or more.
     ///
     /// # Errors
-    /// There is none, or one is shorter than [`MIN_SECRET_LENGTH`].
+    /// Fails if there is none, or if one is shorter than [`MIN_SECRET_LENGTH`].
     pub fn new(secrets: Vec<Vec<u8>>) -> Result<Secrets, SecretError> {
-        let is_long = |secret: &Vec<u8>| secret.len() >= MIN_SECRET_LENGTH;
+        let is_long_enough = |secret: &Vec<u8>| secret.len() >= MIN_SECRET_LENGTH;
         ensure!(
-            !secrets.is_empty() && secrets.iter().all(is_long),
+            !secrets.is_empty() && secrets.iter().all(is_long_enough),
             SecretSnafu
         );
         Ok(Secrets(secrets))
     }
 
-    /// Proves that a message comes from one that knows the secret: the first, or the one by which the peer has proven
-    /// itself, which may not know the other one yet.
+    /// Makes the proof that the sender of a message knows a secret. `secret` is the first one, or the one that the peer has
+    /// used for its own proof, because the peer may not know the first one yet.
     pub fn prove(
         &self,
         secret: SecretIndex,
@@ -74,7 +74,7 @@
             .unwrap_or_default()
     }
 
-    /// Which secret proves a message, if one does.
+    /// Returns the secret that a proof was made with; `None` if the proof is not valid.
     pub fn verify(
         &self,
         domain: ProofDomain,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Each part is preceded by its length, so that bytes cannot move from one to the next.
+/// Computes the HMAC. Each part is preceded by its length, so that parts divided differently have different HMACs.
 fn mac(secret: &[u8], domain: ProofDomain, parts: &[&[u8]]) -> Option<Hmac<Sha256>> {
     let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(secret).ok()?;
     mac.update(&domain);
@@ -101,7 +101,7 @@
     Some(mac)
 }
 
-/// What the proof at the end of a frame covers: the frame without it.
+/// Removes the proof from the end of a frame; the rest is what the proof covers.
 pub fn without_proof(mut frame: Vec<u8>) -> Vec<u8> {
     frame.truncate(frame.len().saturating_sub(size_of::<Proof>()));
     frame
--- a/crates/linenthread-frames/src/stream.rs
+++ b/crates/linenthread-frames/src/stream.rs
@@ -1,24 +1,24 @@
-//! A stream of bytes split into frames.
+//! Splitting a stream of bytes into frames.
 
 use crate::DecodeError;
 use crate::decoder::InvalidLengthSnafu;
 
-/// Bytes of a frame's length, which does not count itself.
+/// The size of a frame's length field in bytes. The length does not include the field itself.
 pub const LENGTH_BYTES: usize = 4;
 
 /// A frame at the front of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FirstFrame<'b> {
-    /// Its kind and its fields, without its length.
+    /// The frame's kind and fields, without the length field.
     pub fields: &'b [u8],
-    /// How many bytes of the buffer it takes, its length included.
+    /// The number of bytes of the buffer that the frame occupies, including the length field.
     pub encoded_bytes: usize,
 }
 
-/// The first frame in the buffer; `None` while it is incomplete.
+/// Returns the first frame in the buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// [`DecodeError::InvalidLength`] for a frame that is empty or longer than `max_length` bytes.
+/// [`DecodeError::InvalidLength`] if the frame is empty or longer than `max_length` bytes.
 pub fn first_frame(
     buffer: &[u8],
     max_length: usize,
@@ -36,11 +36,11 @@
     }))
 }
 
-/// Removes all complete frames from the buffer and hands each to `handle`, in their order; an incomplete one stays.
+/// Removes all complete frames from the buffer and passes each to `handle`, in order; an incomplete frame stays.
 ///
 /// # Errors
-/// [`DecodeError::InvalidLength`], or what `handle` fails with. The frames before it, and for a failure of `handle`
-/// the frame itself, are removed.
+/// [`DecodeError::InvalidLength`], or the error of `handle`. The frames before the failure are removed, and so is a frame
+/// for which `handle` failed.
 pub fn drain_frames<E: From<DecodeError>>(
     buffer: &mut Vec<u8>,
     max_length: usize,
--- a/crates/linenthread-frames/tests/fields.rs
+++ b/crates/linenthread-frames/tests/fields.rs
@@ -1,11 +1,11 @@
-//! Fields that are cut short or malformed, and streams that hold no frames.
+//! Decoding of truncated and malformed fields, and of invalid frames in a stream.
 
 use linenthread_frames::{DecodeError, Decoder, Secrets, drain_frames, encode_frame, first_frame};
 
 const MAX_LENGTH: usize = 100;
 
 #[test]
-fn each_field_that_is_cut_short_is_an_error() {
+fn truncated_fields_are_errors() {
     type Decode = fn(&mut Decoder) -> Result<(), DecodeError>;
     let fields: [(usize, Decode); 7] = [
         (1, |decoder| decoder.u8().map(drop)),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_length_beyond_the_bytes_is_an_error() {
+fn lengths_beyond_the_input_are_errors() {
     let bytes = u32::MAX.to_be_bytes();
     assert_eq!(Decoder::new(&bytes).bytes(), Err(DecodeError::Truncated));
     assert_eq!(Decoder::new(&bytes).text(), Err(DecodeError::Truncated));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn numbers_below_zero_are_read_as_zero_and_others_as_absent() {
+fn negative_numbers_are_read_as_zero_and_non_finite_ones_as_absent() {
     let read = |number: f64| {
         let bytes = number.to_be_bytes();
         Decoder::new(&bytes).optional_f64()
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn options_are_skipped_only_where_they_are_complete() {
+fn only_complete_options_are_skipped() {
     let options = [7, 0, 2, 1, 1, 8, 0, 0];
     assert_eq!(Decoder::new(&options).skip_options(), Ok(()));
     for length in [1, 2, 3, 4, 6, 7] {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_frame_of_no_length_or_over_the_limit_is_an_error() {
+fn empty_and_oversized_frames_are_errors() {
     for length in [0, MAX_LENGTH + 1] {
         let prefix = u32::try_from(length).expect("a short frame").to_be_bytes();
         let error = first_frame(&prefix, MAX_LENGTH);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn secrets_that_are_missing_or_short_are_refused() {
+fn missing_and_short_secrets_are_rejected() {
     assert!(Secrets::new(Vec::new()).is_err());
     assert!(Secrets::new(vec![vec![1; 16], vec![2; 15]]).is_err());
     assert!(Secrets::new(vec![vec![1; 16]]).is_ok());
--- a/crates/linenthread-frames/tests/golden.rs
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The fields of frames and the proof of a shared secret, checked against bytes that an earlier version wrote.
+//! The encoding of fields and the proofs of a shared secret, compared with bytes written by an earlier version.
 //!
 //! The files under `tests/golden/` were written by commit 464716d. They must never be regenerated to make a test
-//! pass: the peers of a program that is being upgraded speak these bytes.
+//! pass: during an upgrade, peers still use the older encoding.
 
 use linenthread_frames::{
     DecodeError, Decoder, ProofDomain, SecretIndex, Secrets, drain_frames, encode_frame,
@@ -13,7 +13,7 @@
 const MAX_LENGTH: usize = 1_000;
 const DOMAIN: ProofDomain = *b"linenthread test";
 
-/// A frame with each sort of field.
+/// Encodes a frame with each type of field.
 fn frame() -> Vec<u8> {
     encode_frame(KIND, |encoder| {
         encoder.u16(0x0102);
@@ -27,7 +27,7 @@
     })
 }
 
-/// Proofs by each of two secrets.
+/// Makes proofs with each of two secrets, and one with an empty nonce.
 fn proofs() -> Vec<(&'static str, Vec<u8>)> {
     let secrets = secrets();
     let proof = |secret, nonce: &[u8]| {
@@ -59,7 +59,7 @@
     assert_eq!(frame(), *bytes);
     let frame = first_frame(bytes, MAX_LENGTH)
         .expect("a frame")
-        .expect("all of it");
+        .expect("a complete frame");
     assert_eq!(frame.encoded_bytes, bytes.len());
     let mut decoder = Decoder::new(frame.fields);
     assert_eq!(decoder.u8(), Ok(KIND));
@@ -79,13 +79,13 @@
     let golden = named_bytes(include_str!("golden/fields.hex")).collect::<Vec<_>>();
     let frame = &golden[0].1;
     let mut read = [&frame[..], &frame[..], &frame[..frame.len() - 1]].concat();
-    let mut taken = Vec::new();
-    let all = drain_frames(&mut read, MAX_LENGTH, |fields| {
-        taken.push(fields.to_vec());
+    let mut drained = Vec::new();
+    let result = drain_frames(&mut read, MAX_LENGTH, |fields| {
+        drained.push(fields.to_vec());
         Ok::<(), DecodeError>(())
     });
-    assert_eq!(all, Ok(()));
-    assert_eq!(taken, [&frame[4..], &frame[4..]]);
+    assert_eq!(result, Ok(()));
+    assert_eq!(drained, [&frame[4..], &frame[4..]]);
     assert_eq!(read, frame[..frame.len() - 1]);
 }
 
