--- a/crates/linenthread-installation/src/attributes.rs
+++ b/crates/linenthread-installation/src/attributes.rs
@@ -1,4 +1,4 @@
-//! Attributes that several sections have.
+//! Attributes shared by several sections.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,20 +6,20 @@
 use crate::InstallationError;
 use crate::xml::Element;
 
-/// The socket address of an attribute.
+/// Parses an attribute's value as a socket address.
 ///
 /// # Errors
 ///
-/// It is none, at the line of the element.
+/// Fails at the line of the element if the value is not a socket address.
 pub(crate) fn parse_address(
     text: &str,
     element: &Element,
 ) -> Result<SocketAddr, InstallationError> {
     text.parse()
-        .map_err(|_| element.error(format!("{text} is not an address with its port")))
+        .map_err(|_| element.error(format!("{text} is not an address with a port")))
 }
 
-/// The file of the secret that is used, then that of the previous one.
+/// Returns the file of the secret in use, then that of the previous one.
 pub(crate) fn secret_files(secret: PathBuf, previous: Option<PathBuf>) -> Vec<PathBuf> {
     std::iter::once(secret).chain(previous).collect()
 }
--- a/crates/linenthread-installation/src/document.rs
+++ b/crates/linenthread-installation/src/document.rs
@@ -1,7 +1,7 @@
-//! The file's sections as they stand in the XML, before the checks. The XML's own names are mapped here.
+//! The file's sections as decoded from the XML, before the checks. Names in the XML are mapped to field names here.
 //!
-//! The decoder accepts what `schema/installation.xsd` allows, with the same defaults, and nothing else; a test
-//! holds the two together.
+//! The decoder accepts exactly what `schema/installation.xsd` allows, with the same defaults; `tests/schema.rs` checks
+//! that they agree.
 
 use std::path::PathBuf;
 
--- a/crates/linenthread-installation/src/error.rs
+++ b/crates/linenthread-installation/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a file cannot be used.
+//! Errors in reading an installation file.
 
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// The steps in which a file is read; each begins where the one before has found no error.
+/// The steps in which a file is read; each is taken only if the one before found no error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadStep {
     /// The text is parsed as XML.
@@ -13,19 +13,19 @@
     Validate,
     /// The XML is decoded into the sections.
     Decode,
-    /// What a schema can't express is checked.
+    /// Constraints that a schema cannot express are checked.
     Check,
 }
 
-/// What is wrong with a file, and where.
+/// An error in a file's text, with its line.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("{line}: {cause}"))]
 pub struct InstallationError {
-    /// The step that has found it.
+    /// The step that found the error.
     pub step: ReadStep,
-    /// The line, from 1.
+    /// The line of the error, from 1.
     pub line: usize,
-    /// What is wrong, for the operator.
+    /// The description of the error, for the operator.
     pub cause: String,
 }
 
@@ -39,24 +39,24 @@
     }
 }
 
-/// Why a file cannot be read.
+/// An error in reading a file.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReadFileError {
-    /// The file system has refused it.
+    /// The file cannot be read from the file system.
     #[snafu(display("{}: {source}", file.display()))]
     Io {
         /// The file.
         file: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// Its text is not valid.
+    /// The file's text is not valid.
     #[snafu(display("{}:{source}", file.display()))]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// What is wrong, and in which line.
+        /// The error in the text, with its line.
         source: InstallationError,
     },
 }
--- a/crates/linenthread-installation/src/fleet.rs
+++ b/crates/linenthread-installation/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `<fleet>`: the processes that decide in common, and this program among them.
+//! `<fleet>`: this program's membership in the fleet, and the members that vote on its decisions.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -10,27 +10,28 @@
 use crate::document::{FleetSection, VoterSection};
 use crate::xml::Element;
 
-/// How many voters there may be: odd numbers, so that a majority is as small as it can be.
+/// The allowed numbers of voters. They are odd, because one more voter would raise the majority without tolerating
+/// another failure.
 const VOTER_COUNTS: [usize; 3] = [3, 5, 7];
 
 /// This program's membership in the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Where the others reach it, by TCP and by UDP.
+    /// The address at which other members reach this program, by TCP and by UDP.
     pub address: SocketAddr,
-    /// Where it listens.
+    /// The address on which this program listens.
     pub listen: SocketAddr,
-    /// The file of the secret that is used, then that of the previous one, which is still accepted.
+    /// The file of the secret in use, then that of the previous one, which is still accepted.
     pub secret_files: Vec<PathBuf>,
-    /// The machine that it runs on.
+    /// The machine that this program runs on.
     pub machine: String,
-    /// Its zone.
+    /// This program's zone.
     pub zone: String,
-    /// Its region.
+    /// This program's region.
     pub region: String,
-    /// The directory of a voter's durable state.
+    /// The directory of the durable state, if this program is a voter.
     pub folder: Option<PathBuf>,
-    /// About how many members there are.
+    /// The approximate number of members.
     pub expected_members: u32,
     /// The time between two health checks of other members.
     pub probe_interval: Duration,
@@ -41,13 +42,13 @@
 /// A member that votes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Voter {
-    /// Its name.
+    /// The voter's name.
     pub name: String,
-    /// Where the others reach it.
+    /// The address at which other members reach the voter.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The voter's zone.
     pub zone: String,
-    /// Its region.
+    /// The voter's region.
     pub region: String,
 }
 
@@ -57,8 +58,8 @@
         element: &Element,
     ) -> Result<Fleet, InstallationError> {
         let voters = check_voters(section.voters, element)?;
-        check_loss_of_a_zone(&voters, element)?;
-        check_partition_of_regions(&voters, section.winning_region.as_deref(), element)?;
+        check_zone_loss(&voters, element)?;
+        check_region_partition(&voters, section.winning_region.as_deref(), element)?;
         let address = parse_address(&section.address, element)?;
         let listen = match &section.listen {
             Some(listen) => parse_address(listen, element)?,
@@ -106,14 +107,17 @@
         voters.push(voter);
     }
     if !VOTER_COUNTS.contains(&voters.len()) {
-        let cause = format!("{} voters, not 3, 5 or 7", voters.len());
+        let cause = format!(
+            "there are {} voters, but there must be 3, 5 or 7",
+            voters.len()
+        );
         return Err(element.error(cause));
     }
     Ok(voters)
 }
 
-/// The loss of one zone must not cost the majority.
-fn check_loss_of_a_zone(voters: &[Voter], element: &Element) -> Result<(), InstallationError> {
+/// Checks that the other voters have a majority if a zone is lost.
+fn check_zone_loss(voters: &[Voter], element: &Element) -> Result<(), InstallationError> {
     let zones = count_voters(voters, |voter| &voter.zone);
     match zones.first() {
         Some(largest) if 2 * largest.voters > voters.len() => Err(element.error(format!(
@@ -124,9 +128,11 @@
     }
 }
 
-/// Two regions can't distinguish a partition between them from the loss of one: the one with the majority goes
-/// on, and the file must name it.
-fn check_partition_of_regions(
+/// Checks that `wins` names the region with the majority if there are exactly two regions, and is absent otherwise.
+///
+/// Two regions can't distinguish a partition between them from the loss of one of them. The region with the majority
+/// continues, and the operator must confirm it in the file.
+fn check_region_partition(
     voters: &[Voter],
     winning: Option<&str>,
     element: &Element,
@@ -135,24 +141,24 @@
     let largest = regions.first().map_or("", |region| region.name);
     match (regions.len(), winning) {
         (2, None) => Err(element.error(format!(
-            "voters are in two regions only: set wins=\"{largest}\", the region that goes on when they are \
-             partitioned from each other, or have a voter in a third"
+            "all voters are in two regions: set wins=\"{largest}\", the region that continues if the two are \
+             partitioned from each other, or add a voter in a third region"
         ))),
         (2, Some(winning)) if winning != largest => Err(element.error(format!(
-            "{winning} cannot win: most voters are in {largest}"
+            "wins=\"{winning}\" is not possible: most voters are in region {largest}"
         ))),
         (2, Some(_)) | (_, None) => Ok(()),
-        (_, Some(_)) => Err(element.error("wins is only for voters in two regions")),
+        (_, Some(_)) => Err(element.error("wins is allowed only if the voters are in two regions")),
     }
 }
 
-/// How many voters are in a zone or region.
+/// The number of voters in a zone or region.
 struct VoterCount<'v> {
     name: &'v str,
     voters: usize,
 }
 
-/// The voters of each zone or region, the one with the most first.
+/// Counts the voters in each zone or region, and returns the one with the most voters first.
 fn count_voters(voters: &[Voter], name: impl Fn(&Voter) -> &String) -> Vec<VoterCount<'_>> {
     let mut counts: Vec<VoterCount> = Vec::new();
     for voter in voters {
--- a/crates/linenthread-installation/src/gateway.rs
+++ b/crates/linenthread-installation/src/gateway.rs
@@ -1,4 +1,4 @@
-//! `<gateway>` and `<peers>`: links between sites.
+//! `<gateway>` and `<peers>`: links between sites, see `linenthread-link`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,41 +9,41 @@
 use crate::document::{GatewaySection, PeerSection, PeersSection};
 use crate::xml::Element;
 
-/// This program as a gateway: coordinators in other sites reach its replicas over links.
+/// The configuration of this program as a gateway: coordinators in other sites reach its replicas over links.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gateway {
-    /// Where it accepts links.
+    /// The address on which it accepts links.
     pub listen: SocketAddr,
-    /// The file of the secret that is used, then that of the previous one, which is still accepted.
+    /// The file of the secret in use, then that of the previous one, which is still accepted.
     pub secret_files: Vec<PathBuf>,
-    /// The most calls of a session that run or whose outcome is retained.
+    /// The maximum number of calls of a session that are running or whose outcome is retained.
     pub window_calls: u64,
-    /// The most bytes of these calls.
+    /// The maximum total size of these calls, in bytes.
     pub window_bytes: u64,
-    /// How long a session without a connection is retained.
+    /// How long a session is retained without a connection.
     pub session_timeout: Duration,
-    /// The most sessions.
+    /// The maximum number of sessions.
     pub max_sessions: usize,
-    /// What each session may use of a replica's slow-start budget, in thousandths.
+    /// The share of a replica's slow-start budget that each session may use, in thousandths.
     pub slow_start_share: u16,
 }
 
-/// A gateway in another site, behind which there are further replicas.
+/// A gateway in another site, through which its replicas are reached.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Its name.
+    /// The gateway's name.
     pub name: String,
-    /// Where it accepts links.
+    /// The address at which it accepts links.
     pub address: SocketAddr,
-    /// The file of the secret that is used, then that of the previous one, which is still accepted.
+    /// The file of the secret in use, then that of the previous one, which is still accepted.
     pub secret_files: Vec<PathBuf>,
-    /// The most calls that have not completed.
+    /// The maximum number of pending calls.
     pub max_in_flight: usize,
-    /// How long a session outlives its connection.
+    /// How long a session is retained after its connection is lost.
     pub session_timeout: Duration,
     /// The time between two pings.
     pub ping_interval: Duration,
-    /// The longest wait of a call for credit or for a lost link.
+    /// The longest time for which a call waits for credit or for a lost connection.
     pub grace_period: Duration,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Peer {
-    /// Checks all peers; no two have the same name or address.
+    /// Checks all peers; no two may have the same name or address.
     pub(crate) fn check_all(
         section: PeersSection,
         element: &Element,
--- a/crates/linenthread-installation/src/lib.rs
+++ b/crates/linenthread-installation/src/lib.rs
@@ -1,11 +1,11 @@
-//! The installation file: what the operators of an installation configure, as XML that is validated against a
-//! schema and read into checked values.
+//! The installation file: the operators' configuration of an installation, as XML that is validated against a schema
+//! and read into checked values.
 //!
-//! [`Installation::read`] takes the file's text and what the platform's settings say of their indexes; it returns
-//! typed values, or one [`InstallationError`] with the line and the cause. A file is read in four steps, see
-//! [`ReadStep`]. Each subsystem has a section and a module here; the XML's own names appear only in `document`.
+//! [`Installation::read`] takes the file's text, and a lookup of the indexes in the platform's settings. It returns
+//! typed values, or an [`InstallationError`] with the line and the cause. A file is read in four steps, see
+//! [`ReadStep`]. Each subsystem has its own section and module; the names in the XML are mapped in `document`.
 //!
-//! The crate does not know how the values are used, and reads none of the files that they name. Start reading at
+//! The crate does not depend on how the values are used, and does not read the files that they name. Start reading at
 //! [`Installation`].
 
 mod attributes;
@@ -34,10 +34,10 @@
 /// The XML schema of the file.
 pub const SCHEMA: &str = include_str!("../schema/installation.xsd");
 
-/// What the platform's settings say of an index that the file names.
+/// The platform's settings for an index that the file names.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnownIndex {
-    /// The lowest share of a response's weight that may be given, from 0 to 1.
+    /// The lowest share of the total weight that a response may cover, from 0 to 1.
     pub min_share: f64,
 }
 
@@ -46,7 +46,7 @@
 pub struct Installation {
     /// The indexes whose responses are merged.
     pub merging: Merging,
-    /// This program as a gateway for other sites.
+    /// The configuration of this program as a gateway for other sites.
     pub gateway: Option<Gateway>,
     /// Gateways in other sites.
     pub peers: Vec<Peer>,
@@ -57,11 +57,11 @@
 }
 
 impl Installation {
-    /// Reads and checks a file's text. `known` returns what the settings say of an index, if they have it.
+    /// Reads and checks a file's text. `known` returns the settings for an index; `None` if they don't have it.
     ///
     /// # Errors
     ///
-    /// The first error found, with its line.
+    /// Returns the first error found, with its line.
     pub fn read(
         text: &str,
         known: &dyn Fn(&str) -> Option<KnownIndex>,
@@ -72,7 +72,7 @@
         let document: Document = quick_xml::de::from_str(text).map_err(|error| {
             InstallationError::new(ReadStep::Decode, root.line, error.to_string())
         })?;
-        // Each check gets a section and the element that it was decoded from, for the line of an error.
+        // Each check takes a section and the element that it was decoded from, whose line an error reports.
         let merging = document
             .merging
             .zip(root.child("merging"))
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// The file cannot be read, or its text is not valid.
+    /// Fails if the file cannot be read or its text is not valid.
     pub fn read_file(
         file: &Path,
         known: &dyn Fn(&str) -> Option<KnownIndex>,
@@ -127,7 +127,7 @@
         Ok(installation)
     }
 
-    /// All paths that the file names.
+    /// Returns all paths that the file names.
     fn paths_mut(&mut self) -> impl Iterator<Item = &mut PathBuf> {
         let cursors = self.merging.cursors.iter_mut();
         let gateway = self.gateway.iter_mut();
--- a/crates/linenthread-installation/src/merging.rs
+++ b/crates/linenthread-installation/src/merging.rs
@@ -1,4 +1,4 @@
-//! `<merging>`: the indexes whose responses are merged, and the cursors of their pages.
+//! `<merging>`: the indexes whose responses are merged, and the cursors for pagination.
 
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -16,21 +16,21 @@
 use crate::xml::Element;
 use crate::{InstallationError, KnownIndex};
 
-/// The indexes whose responses are merged; the responses of others are passed on.
+/// The indexes whose responses are merged. The responses of other indexes are passed on unmerged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Merging {
-    /// How each index is merged.
+    /// The merge plan of each index.
     pub plans: Vec<Plan>,
-    /// How cursors of pages are signed.
+    /// The lifetime and the secrets of pagination cursors.
     pub cursors: Option<CursorFiles>,
 }
 
-/// How cursors of pages are signed.
+/// The lifetime and the secrets of pagination cursors.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CursorFiles {
     /// How long a cursor is valid.
     pub lifetime: Duration,
-    /// The file of the secret that signs, then that of the previous one, which is still accepted.
+    /// The file of the secret that signs cursors, then that of the previous one, which is still accepted.
     pub secret_files: Vec<PathBuf>,
 }
 
@@ -49,7 +49,7 @@
                 return Err(element.error(format!("the settings have no index {index}")));
             };
             if plans.iter().any(|plan| plan.index == index) {
-                return Err(element.error(format!("the index {index} is merged twice")));
+                return Err(element.error(format!("the index {index} is listed twice")));
             }
             let aggregation = check_aggregation(section, element, settings, cursors.as_ref())?;
             plans.push(Plan { index, aggregation });
@@ -102,19 +102,19 @@
         let statistics = &measure.statistics;
         let is_repeated = |(index, statistic)| statistics[..index].contains(statistic);
         if statistics.iter().enumerate().any(is_repeated) {
-            let cause = format!("a figure of {} is listed twice", measure.field);
+            let cause = format!("figures of {} lists a value twice", measure.field);
             return Err(element.error(cause));
         }
     }
     if let Some(field) = first_repeated(sections.iter().map(|m| m.field.as_str())) {
-        return Err(element.error(format!("the field {field} is measured twice")));
+        return Err(element.error(format!("the field {field} has two measures")));
     }
     Ok(sections.into_iter().map(Measure::from).collect())
 }
 
 fn check_groups(section: GroupsSection, element: &Element) -> Result<GroupPlan, InstallationError> {
     if section.max_retained < section.max_groups {
-        let cause = "held is less than most: so many groups could not be returned";
+        let cause = "held is less than most: groups that are not retained cannot be returned";
         return Err(element.error(cause));
     }
     Ok(GroupPlan {
@@ -135,19 +135,20 @@
     let max_page_size = section.max_page_size.unwrap_or(page_size);
     let paginated = section.paginated == YesNo::Yes;
     if page_size > max_page_size {
-        let cause = format!("page is {page_size}, more than most, which is {max_page_size}");
+        let cause = format!("page ({page_size}) is greater than most ({max_page_size})");
         return Err(element.error(cause));
     }
     if paginated && cursors.is_none() {
-        return Err(element.error("pages need <marks> before them, or pages=\"no\""));
+        return Err(element
+            .error("pages require <marks> at the start of <merging>; otherwise set pages=\"no\""));
     }
     for (field, element) in section.order.iter().zip(element.children("order")) {
         if field.field_type == FieldTypeValue::Text && field.scale > 0 {
-            return Err(element.error("a text has no scale"));
+            return Err(element.error("scale is allowed only with kind=\"decimal\""));
         }
     }
     if let Some(field) = first_repeated(section.order.iter().map(|o| o.field.as_str())) {
-        return Err(element.error(format!("the order has {field} twice")));
+        return Err(element.error(format!("the order lists {field} twice")));
     }
     if paginated {
         check_distinct_pages(&section, element, settings)?;
@@ -162,9 +163,10 @@
     })
 }
 
-/// Rows in pages can be distinct by their first sort field only, and only where no shard may be missing: a cursor says
-/// how far each shard was read and not which values were shown. Whether a value was shown can be told by the first sort
-/// field, as long as no shard is read later than the others.
+/// Checks that paginated rows are distinct only by their first sort field, and only if no shard may be missing.
+///
+/// A cursor records how far each shard was read, but not which values were returned. Whether a value was returned can
+/// be derived from the first sort field, as long as no shard is read later than the others.
 fn check_distinct_pages(
     section: &RowsSection,
     element: &Element,
@@ -176,19 +178,19 @@
     let first = section.order.first();
     if first.is_none_or(|first| first.field != distinct.field) {
         return Err(element.error(
-            "rows in pages can only be distinct by their first order field; or say pages=\"no\"",
+            "paginated rows can be distinct only by their first order field; otherwise set pages=\"no\"",
         ));
     }
     if settings.min_share < 1.0 {
         return Err(element.error(
-            "rows in pages can only be distinct where the index's floor is 1: a shard missing on one page \
-             could bring a value again on the next; or say pages=\"no\"",
+            "paginated rows can be distinct only if the index's floor is 1: a shard missing on one page could \
+             repeat a value on the next; otherwise set pages=\"no\"",
         ));
     }
     Ok(())
 }
 
-/// The first name that is repeated.
+/// Returns the first name that is repeated.
 fn first_repeated<'a>(mut names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let mut seen = HashSet::new();
     names.find(|name| !seen.insert(*name))
--- a/crates/linenthread-installation/src/schema/mod.rs
+++ b/crates/linenthread-installation/src/schema/mod.rs
@@ -1,13 +1,12 @@
-//! The part of XML Schema that `schema/installation.xsd` uses.
+//! An implementation of the parts of XML Schema that `schema/installation.xsd` uses.
 //!
-//! A schema with anything else in it is rejected, so that nothing in it is silently not enforced.
+//! A schema with other parts is rejected, so that no constraint in it is silently ignored.
 
 mod read;
 mod validate;
 
 use std::collections::BTreeMap;
 
-/// A schema.
 #[derive(Debug, Default)]
 pub(crate) struct Schema {
     root: ElementDeclaration,
@@ -22,7 +21,7 @@
     type_name: String,
 }
 
-/// `xs:simpleType`: what an attribute's value may be.
+/// `xs:simpleType`: the allowed values of an attribute.
 #[derive(Debug)]
 enum SimpleType {
     /// A list of values of this type, separated by white space.
@@ -32,12 +31,12 @@
     Text {
         min_length: usize,
         max_length: Option<usize>,
-        /// The values that are allowed; all if empty.
+        /// The allowed values; any value if empty.
         enumeration: Vec<String>,
     },
 }
 
-/// `xs:complexType`: what an element may have in it.
+/// `xs:complexType`: the allowed content and attributes of an element.
 #[derive(Debug, Default)]
 struct ComplexType {
     content: Option<Particle>,
@@ -52,7 +51,7 @@
     required: bool,
 }
 
-/// A part of an element's content, with how many times it may occur.
+/// A part of an element's content, with the number of times that it may occur.
 #[derive(Debug)]
 struct Particle {
     term: Term,
@@ -60,7 +59,6 @@
     max_occurs: usize,
 }
 
-/// What a particle consists of.
 #[derive(Debug)]
 enum Term {
     Element(ElementDeclaration),
--- a/crates/linenthread-installation/src/schema/read.rs
+++ b/crates/linenthread-installation/src/schema/read.rs
@@ -1,4 +1,4 @@
-//! Reads a schema from its XML.
+//! Reading a schema from its XML.
 
 use std::str::FromStr;
 
@@ -13,7 +13,7 @@
     ///
     /// # Errors
     ///
-    /// The schema has a part that is not supported, or refers to a type that it does not define.
+    /// Fails if the schema has a part that is not supported, or refers to a type that it does not define.
     pub(crate) fn read(element: &Element) -> Result<Schema, InstallationError> {
         let mut schema = Schema::default();
         for child in &element.children {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A type that is referred to and not defined.
+    /// Returns a type that is referred to but not defined.
     fn undefined_type(&self) -> Option<&str> {
         let item_types = self.simple_types.values().filter_map(SimpleType::item_type);
         let attribute_types = self
@@ -56,7 +56,7 @@
         })
     }
 
-    /// The types of all elements.
+    /// Returns the names of the types of all elements.
     fn element_types(&self) -> Vec<&str> {
         let mut types = vec![self.root.type_name.as_str()];
         let contents = self.complex_types.values();
@@ -99,7 +99,7 @@
         Ok(simple)
     }
 
-    /// The type that is restricted by facets.
+    /// Reads the base type, which the facets then restrict.
     fn base(inner: &Element) -> Result<SimpleType, InstallationError> {
         let base = inner.attribute("base");
         match (inner.name.as_str(), base, inner.attribute("itemType")) {
@@ -191,7 +191,7 @@
 }
 
 fn unsupported(element: &Element) -> InstallationError {
-    let cause = format!("the schema's <{}> is not known here", element.name);
+    let cause = format!("<{}> is not supported in the schema", element.name);
     error(element, cause)
 }
 
@@ -201,19 +201,19 @@
         .ok_or_else(|| error(element, format!("<{}> lacks {name}", element.name)))
 }
 
-/// How many times a particle may or must occur; once by default.
+/// Reads how many times a particle must or may occur; the default is 1.
 fn occurrences(element: &Element, name: &str) -> Result<usize, InstallationError> {
     match element.attribute(name) {
         None => Ok(1),
         Some("unbounded") => Ok(usize::MAX),
         Some(number) => number
             .parse()
-            .map_err(|_| error(element, format!("{name} is no number"))),
+            .map_err(|_| error(element, format!("{name} is not a number"))),
     }
 }
 
 fn facet_value<T: FromStr>(facet: &Element) -> Result<T, InstallationError> {
     required_attribute(facet, "value")?
         .parse()
-        .map_err(|_| error(facet, "its value is no number"))
+        .map_err(|_| error(facet, "the value of the facet is not a number"))
 }
--- a/crates/linenthread-installation/src/schema/validate.rs
+++ b/crates/linenthread-installation/src/schema/validate.rs
@@ -1,4 +1,4 @@
-//! Validates a document against a schema.
+//! Validation of a document against a schema.
 
 use super::{AttributeDeclaration, Particle, Schema, SimpleType, Term};
 use crate::xml::Element;
@@ -9,10 +9,13 @@
     ///
     /// # Errors
     ///
-    /// The first violation.
+    /// Returns the first violation.
     pub(crate) fn validate(&self, root: &Element) -> Result<(), InstallationError> {
         if root.name != self.root.name {
-            let cause = format!("<{}> stands in place of <{}>", root.name, self.root.name);
+            let cause = format!(
+                "the root element is <{}>, not <{}>",
+                root.name, self.root.name
+            );
             return Err(error(root, cause));
         }
         self.validate_element(root, &self.root.type_name)
@@ -31,13 +34,13 @@
         };
         let name = &element.name;
         if element.has_text {
-            return Err(error(element, format!("<{name}> cannot have text in it")));
+            return Err(error(element, format!("<{name}> cannot contain text")));
         }
         self.validate_attributes(element, &complex.attributes)?;
         self.validate_content(element, complex.content.as_ref())
     }
 
-    /// Each attribute must be declared and have an allowed value, and no required one may be missing.
+    /// Checks that each attribute is declared and has an allowed value, and that no required one is missing.
     fn validate_attributes(
         &self,
         element: &Element,
@@ -65,7 +68,7 @@
         Ok(())
     }
 
-    /// The children must be those that the content allows, and valid themselves.
+    /// Checks that the content allows the children, and that they are valid themselves.
     fn validate_content(
         &self,
         element: &Element,
@@ -90,10 +93,11 @@
         children.try_for_each(|(child, type_name)| self.validate_element(child, type_name))
     }
 
-    /// Checks a value against a simple type; what is wrong with it in `Err`, to follow the value in a message.
+    /// Checks a value against a simple type. `Err` has a description of the violation, to be appended to the value in a
+    /// message.
     fn validate_value(&self, value: &str, type_name: &str) -> Result<(), String> {
         match self.simple_types.get(type_name) {
-            None => Err(format!("no type {type_name}")),
+            None => Err(format!("the schema has no type {type_name}")),
             Some(SimpleType::List { item_type }) => {
                 let mut items = value.split_whitespace().peekable();
                 if items.peek().is_none() {
@@ -137,12 +141,12 @@
     InstallationError::new(ReadStep::Validate, element.line, cause)
 }
 
-/// Matches an element's children with the particles of its type, from the first child on.
+/// Matches an element's children in order with the particles of its type.
 struct ContentMatcher<'e, 's> {
     element: &'e Element,
-    /// The first child that is not matched yet.
+    /// The index of the first child that is not matched yet.
     position: usize,
-    /// The types of the children that are.
+    /// The types of the matched children.
     child_types: Vec<&'s str>,
 }
 
@@ -158,7 +162,7 @@
             let is_required = occurrence < particle.min_occurs;
             match &particle.term {
                 Term::Element(declaration) => {
-                    if self.begins(particle) {
+                    if self.can_begin(particle) {
                         self.child_types.push(&declaration.type_name);
                         self.position += 1;
                     } else if is_required {
@@ -166,14 +170,14 @@
                     }
                 }
                 Term::Sequence(parts) => {
-                    if self.begins(particle) || is_required {
+                    if self.can_begin(particle) || is_required {
                         parts
                             .iter()
                             .try_for_each(|part| self.match_particle(part))?;
                     }
                 }
                 Term::Choice(options) => {
-                    if let Some(option) = options.iter().find(|option| self.begins(option)) {
+                    if let Some(option) = options.iter().find(|option| self.can_begin(option)) {
                         self.match_particle(option)?;
                     }
                 }
@@ -186,32 +190,32 @@
         Ok(())
     }
 
-    /// Matches each of the particles once, in any order.
+    /// Matches each of the particles at most once, in any order.
     fn match_all(&mut self, parts: &'s [Particle]) -> Result<(), InstallationError> {
         let mut remaining: Vec<&Particle> = parts.iter().collect();
-        while let Some(next) = remaining.iter().position(|part| self.begins(part)) {
+        while let Some(next) = remaining.iter().position(|part| self.can_begin(part)) {
             self.match_particle(remaining.remove(next))?;
         }
-        // What has not occurred must be optional.
+        // Particles that have not occurred must be optional.
         remaining
             .into_iter()
             .try_for_each(|part| self.match_particle(part))
     }
 
-    /// Whether the next child can be the particle's first.
-    fn begins(&self, particle: &Particle) -> bool {
+    /// Reports whether the next child can be the first element of the particle.
+    fn can_begin(&self, particle: &Particle) -> bool {
         let Some(child) = self.next_child() else {
             return false;
         };
         match &particle.term {
             Term::Element(declaration) => child.name == declaration.name,
             Term::Sequence(parts) | Term::Choice(parts) | Term::All(parts) => {
-                parts.iter().any(|part| self.begins(part))
+                parts.iter().any(|part| self.can_begin(part))
             }
         }
     }
 
-    /// The error that an element is missing where the next child stands.
+    /// Builds the error that an element is missing before the next child.
     fn missing(&self, name: &str) -> InstallationError {
         let at = self.next_child().unwrap_or(self.element);
         error(at, format!("<{}> has no <{name}> here", self.element.name))
--- a/crates/linenthread-installation/src/xml.rs
+++ b/crates/linenthread-installation/src/xml.rs
@@ -1,31 +1,29 @@
-//! XML as a small tree that knows its lines. Depth and size are limited; document types, and entities other than
-//! the five of XML itself, are rejected.
+//! Parsing of XML into a tree of elements with their lines. Depth and size are limited. Document types are rejected,
+//! and so are entities other than the five predefined ones.
 
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::{Reader, XmlVersion};
 
 use crate::{InstallationError, ReadStep};
 
-/// The most bytes of a file.
+/// The maximum size of a file in bytes.
 const MAX_BYTES: usize = 1024 * 1024;
-/// The deepest nesting of elements.
+/// The maximum nesting depth of elements.
 const MAX_DEPTH: usize = 16;
-/// The most elements of a file.
+/// The maximum number of elements in a file.
 const MAX_ELEMENTS: usize = 50_000;
 
-/// An element.
 #[derive(Debug, Default)]
 pub(crate) struct Element {
     pub(crate) name: String,
-    /// Its line in the file, from 1.
+    /// The line in the file on which the element begins, from 1.
     pub(crate) line: usize,
     pub(crate) attributes: Vec<Attribute>,
     pub(crate) children: Vec<Element>,
-    /// There is text in it, other than white space.
+    /// Whether the element contains text other than white space.
     pub(crate) has_text: bool,
 }
 
-/// An attribute of an element.
 #[derive(Debug)]
 pub(crate) struct Attribute {
     pub(crate) name: String,
@@ -40,27 +38,27 @@
             .map(|attribute| attribute.value.as_str())
     }
 
-    /// The children of this name.
+    /// Returns the children with this name.
     pub(crate) fn children<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a Element> {
         self.children.iter().filter(move |child| child.name == name)
     }
 
-    /// The first child of this name.
+    /// Returns the first child with this name.
     pub(crate) fn child(&self, name: &str) -> Option<&Element> {
         self.children.iter().find(|child| child.name == name)
     }
 
-    /// An error of the checks, at this element.
+    /// Builds an error of [`ReadStep::Check`] at this element.
     pub(crate) fn error(&self, cause: impl Into<String>) -> InstallationError {
         InstallationError::new(ReadStep::Check, self.line, cause)
     }
 }
 
-/// Parses a file's text; returns its root element.
+/// Parses a file's text and returns its root element.
 ///
 /// # Errors
 ///
-/// The text is not well-formed XML, or exceeds the limits.
+/// Fails if the text is not well-formed XML or exceeds the limits.
 pub(crate) fn parse(text: &str) -> Result<Element, InstallationError> {
     if text.len() > MAX_BYTES {
         let cause = format!("the file has more than {MAX_BYTES} bytes");
@@ -97,8 +95,12 @@
         }
     }
     let last_line = lines.line;
-    tree.finish()
-        .ok_or_else(|| error(last_line, "the file is not one complete element"))
+    tree.finish().ok_or_else(|| {
+        error(
+            last_line,
+            "the file does not consist of one complete element",
+        )
+    })
 }
 
 fn error(line: usize, cause: impl Into<String>) -> InstallationError {
@@ -124,7 +126,8 @@
     Ok(element)
 }
 
-/// The elements that are open, each within the one before; the first stands for the document itself.
+/// Builds the tree. `open` has the elements that are not closed yet, outermost first; the first entry represents the
+/// document itself.
 struct TreeBuilder {
     open: Vec<Element>,
     element_count: usize,
@@ -138,24 +141,24 @@
         }
     }
 
-    /// Counts an element that begins at this line, and checks the limits.
+    /// Counts an element that begins on this line, and checks the limits.
     fn count(&mut self, line: usize) -> Result<(), InstallationError> {
         self.element_count += 1;
         if self.open.len() > MAX_DEPTH || self.element_count > MAX_ELEMENTS {
-            let cause = "there are too many elements, or too many within each other";
+            let cause = "there are too many elements, or they are nested too deeply";
             return Err(error(line, cause));
         }
         Ok(())
     }
 
-    /// Adds an element to the innermost one that is open.
+    /// Adds an element as a child of the innermost open one.
     fn add(&mut self, element: Element) {
         if let Some(parent) = self.open.last_mut() {
             parent.children.push(element);
         }
     }
 
-    /// The innermost element ends.
+    /// Closes the innermost open element.
     fn close(&mut self) {
         if let Some(element) = self.open.pop() {
             self.add(element);
@@ -168,7 +171,7 @@
         }
     }
 
-    /// The root element, if there is just one, all are closed, and there is no text beside it.
+    /// Returns the root element, if there is exactly one, all elements are closed, and there is no text outside it.
     fn finish(mut self) -> Option<Element> {
         let document = self.open.pop()?;
         if !self.open.is_empty() || document.has_text {
@@ -179,7 +182,7 @@
     }
 }
 
-/// Counts lines as the reader goes on, so that long files are not counted over and over.
+/// Counts lines incrementally as the reader proceeds, so that the file is scanned only once.
 struct LineCounter<'a> {
     text: &'a [u8],
     position: usize,
@@ -195,7 +198,8 @@
         }
     }
 
-    /// The line at a byte position; positions before the last one asked for count as that one.
+    /// Returns the line at a byte position. A position before the greatest one requested so far gives the line at that
+    /// one.
     fn line_at(&mut self, position: u64) -> usize {
         let end = usize::try_from(position)
             .unwrap_or(usize::MAX)
--- a/crates/linenthread-installation/src/zones.rs
+++ b/crates/linenthread-installation/src/zones.rs
@@ -1,4 +1,4 @@
-//! `<zones>`: how the fleet distributes traffic over zones.
+//! `<zones>`: how the fleet distributes traffic among zones.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -7,18 +7,18 @@
 use crate::xml::Element;
 use crate::{Fleet, InstallationError};
 
-/// How it is decided which zone serves which zone's traffic.
+/// The parameters for deciding which zone serves which zone's traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zones {
-    /// How long the last table is used without contact to the voters.
+    /// How long the last table is used without contact with the voters.
     pub table_lifetime: Duration,
-    /// The share of its capacity up to which a zone accepts traffic of others, in thousandths.
+    /// The share of its capacity up to which a zone accepts traffic of other zones, in thousandths.
     pub max_utilization: u16,
-    /// How long a zone is evacuated at first.
+    /// How long a zone is evacuated the first time.
     pub min_evacuation: Duration,
-    /// How long a zone that fails again and again is evacuated at most.
+    /// The maximum time for which a zone that fails repeatedly is evacuated.
     pub max_evacuation: Duration,
-    /// How long each step of a zone's return takes.
+    /// The duration of each step of a zone's return.
     pub return_step: Duration,
     /// The zones.
     pub zones: Vec<Zone>,
@@ -27,11 +27,12 @@
 /// A zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Its name in the platform's settings.
+    /// The zone's name in the platform's settings.
     pub name: String,
-    /// Its region.
+    /// The zone's region.
     pub region: String,
-    /// Sub-requests a second that one of its replicas handles; `None` if unknown, so that it never counts as full.
+    /// The sub-requests per second that one of the zone's replicas can handle; if `None`, the zone never counts as
+    /// full.
     pub replica_capacity: Option<u32>,
 }
 
@@ -42,7 +43,7 @@
         fleet: Option<&Fleet>,
     ) -> Result<Zones, InstallationError> {
         let Some(fleet) = fleet else {
-            return Err(element.error("<zones> needs a <fleet>, and there is none"));
+            return Err(element.error("<zones> requires <fleet>"));
         };
         let mut names = BTreeSet::new();
         for (zone, element) in section.zones.iter().zip(element.children("zone")) {
--- a/crates/linenthread-installation/tests/reading.rs
+++ b/crates/linenthread-installation/tests/reading.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_file_is_read_into_its_values() {
+fn a_file_is_read_into_typed_values() {
     let installation = read(EXAMPLE).unwrap();
     assert_eq!(installation.merging.plans.len(), 3);
     let cursors = installation.merging.cursors.unwrap();
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn the_example_of_the_deployment_is_valid() {
+fn the_deployment_example_is_valid() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/installation.xml");
     let text = std::fs::read_to_string(&file).unwrap();
     assert_eq!(read(&text).unwrap().merging.plans.len(), 1);
-    // The sections that stand there as comments are valid too.
+    // The sections that are commented out are valid too.
     let complete = text
         .replace("lower bound.\n", "lower bound. -->\n")
         .replace("as one.\n", "as one. -->\n")
@@ -100,7 +100,7 @@
     to: &'static str,
     /// The line that the error names.
     line: usize,
-    /// What stands in the error.
+    /// Part of the error's cause.
     cause: &'static str,
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-/// Files that are no XML, or not of the root element's form.
+/// Files that are not well-formed XML or have an invalid root element.
 const INVALID_XML: &[InvalidChange] = &[
     change("version=\"1\"", "version=\"2\"", 2, "not one of 1"),
     change("<!-- money -->", "money", 2, "text"),
@@ -266,7 +266,7 @@
     ),
 ];
 
-/// Each error names its line, and nothing that the schema or a check refuses passes.
+/// Checks that each change is rejected by the parser, the schema or a check, and that the error has the right line.
 #[test]
 fn invalid_files_are_rejected_with_line_and_cause() {
     let sections = [
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn what_is_not_one_element_of_some_depth_is_rejected() {
+fn malformed_and_too_deeply_nested_files_are_rejected() {
     for text in [
         "<a>".repeat(40),
         "<installation version='1'/>".repeat(2),
--- a/crates/linenthread-installation/tests/schema.rs
+++ b/crates/linenthread-installation/tests/schema.rs
@@ -1,6 +1,6 @@
-//! The schema and the decoder agree: each allows what the other does, with the same defaults.
+//! Checks that the schema and the decoder accept the same files and have the same defaults.
 
-/// The decoder's types, compiled into this test: alone, without the schema that is applied before it.
+/// The decoder's types, compiled into this test so that they can be tested without the schema's validation.
 #[path = "../src/document.rs"]
 mod document;
 
@@ -14,7 +14,7 @@
 /// A file with every section.
 const EXAMPLE: &str = include_str!("example.xml");
 
-/// Where the example has an element of each type with attributes.
+/// The element types with attributes, and where the example has an element of that type.
 const ELEMENTS: [(&str, &str); 15] = [
     ("Installation", "<installation"),
     ("Marks", "<marks"),
@@ -52,7 +52,7 @@
 }
 
 impl ValueType {
-    /// Adds a facet; `value` gives its attributes.
+    /// Adds a facet; `value` returns its attributes by name.
     fn restrict(&mut self, facet: &str, value: impl Fn(&str) -> String) {
         match facet {
             "xs:list" => self.item_type = Some(value("itemType")),
@@ -66,7 +66,7 @@
     }
 }
 
-/// What the test needs of the schema, read independently of the crate.
+/// The declarations in the schema that the tests need, read independently of the crate.
 #[derive(Default)]
 struct Declarations {
     attributes: Vec<Attribute>,
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Values of an attribute: each one of an enumeration, the bounds of a number, else one that is allowed.
+    /// Returns sample values of an attribute: all values of an enumeration, the bounds of a number, or else one allowed
+    /// text.
     fn samples(&self, attribute: &Attribute) -> Vec<String> {
         let value_type = &self.value_types[&attribute.value_type];
         let item_type = value_type.item_type.as_ref();
@@ -138,7 +139,7 @@
     Some(value.unwrap().into_owned())
 }
 
-/// The example with a distinct field, and with the default where it gives the only other value.
+/// Returns the example with a distinct field, and without the attribute `negative`, so that its default applies.
 fn complete_example() -> String {
     EXAMPLE.replace("negative=\"no\" ", "").replace(
         "<identity field=\"id\"/>",
@@ -146,7 +147,7 @@
     )
 }
 
-/// Sets an attribute in the first element that begins so, in place of the one that it has.
+/// Sets an attribute of the first element that begins with `element`, or replaces its value.
 fn with_attribute(text: &str, element: &str, name: &str, value: &str) -> String {
     let start = text.find(&format!("{element} ")).expect(element);
     let end = start + text[start..].find('>').unwrap();
@@ -168,7 +169,7 @@
     quick_xml::de::from_str(text)
 }
 
-/// Whether a file passes the schema, whatever the checks say of its values.
+/// Asserts that a file is valid by the schema, even if the checks reject its values.
 fn assert_is_schema_valid(text: &str, what: &str) {
     let known = |_: &str| Some(KnownIndex { min_share: 1.0 });
     match Installation::read(text, &known) {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Every value that the schema allows is decoded, and no other name passes the decoder alone.
+/// Checks that the decoder accepts each sample value that the schema allows, and rejects misspelled attribute names.
 #[test]
 fn the_decoder_accepts_what_the_schema_allows() {
     let declarations = Declarations::read();
@@ -192,8 +193,9 @@
             let what = format!("{element} {name}=\"{value}\"");
             let text = with_attribute(&complete, element, name, &value);
             assert_is_schema_valid(&text, &what);
-            decode(&text)
-                .unwrap_or_else(|e| panic!("the schema allows {what}, the decoder not: {e}"));
+            decode(&text).unwrap_or_else(|e| {
+                panic!("the schema allows {what}, but the decoder does not: {e}")
+            });
             let misnamed = text.replacen(&format!("{name}=\""), &format!("{name}x=\""), 1);
             assert!(decode(&misnamed).is_err(), "{misnamed}");
         }
@@ -201,7 +203,7 @@
     assert!(declarations.attributes.len() > 20);
 }
 
-/// Each attribute with a default can be left out, and the decoder's default is the schema's.
+/// Checks that each attribute with a default is optional, and that the decoder has the schema's default.
 #[test]
 fn the_decoder_has_the_defaults_of_the_schema() {
     let declarations = Declarations::read();
@@ -226,7 +228,7 @@
     assert_eq!(decode(&filled).unwrap(), decode(&complete).unwrap());
 }
 
-/// Sets an attribute in all elements that begin so and lack it.
+/// Sets an attribute of all elements that begin with `element` and lack it.
 fn fill_in(text: &str, element: &str, name: &str, value: &str) -> String {
     let beginning = format!("{element} ");
     let mut parts = text.split(&beginning);
