--- a/crates/linenthread-frames/src/decoder.rs
+++ b/crates/linenthread-frames/src/decoder.rs
@@ -139,7 +139,8 @@
         Ok(text.context(InvalidUtf8Snafu)?.to_owned())
     }
 
-    /// Decodes an optional number of eight bytes. A number that is not finite is absent, and a negative one is read as 0.
+    /// Decodes an optional number of eight bytes. A number that is not finite is absent, and a negative one is read
+    /// as 0.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
@@ -148,8 +149,8 @@
         Ok(number.is_finite().then_some(number.max(0.0)))
     }
 
-    /// Skips the remaining bytes, which must be options of later versions: each has a kind in one byte, a length in two, and
-    /// that many bytes.
+    /// Skips the remaining bytes, which must be options of later versions: each has a kind in one byte, a length in
+    /// two, and that many bytes.
     ///
     /// # Errors
     /// [`DecodeError::Truncated`].
--- a/crates/linenthread-frames/src/encoder.rs
+++ b/crates/linenthread-frames/src/encoder.rs
@@ -49,8 +49,8 @@
         self.0.extend(number.to_be_bytes());
     }
 
-    /// Appends the number of the items that follow, in two bytes. A greater number is encoded as 65,535; the lists in frames
-    /// and records are far shorter.
+    /// Appends the number of the items that follow, in two bytes. A greater number is encoded as 65,535; the lists in
+    /// frames and records are far shorter.
     pub fn count(&mut self, count: usize) {
         self.u16(u16::try_from(count).unwrap_or(u16::MAX));
     }
@@ -71,8 +71,8 @@
         self.raw(bytes);
     }
 
-    /// Appends a text preceded by its length in two bytes. A text of more than 65,535 bytes is truncated; no text in frames
-    /// and records is that long.
+    /// Appends a text preceded by its length in two bytes. A text of more than 65,535 bytes is truncated; no text in
+    /// frames and records is that long.
     pub fn text(&mut self, text: &str) {
         let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.u16(u16::try_from(bytes.len()).unwrap_or(u16::MAX));
--- a/crates/linenthread-frames/src/proof.rs
+++ b/crates/linenthread-frames/src/proof.rs
@@ -57,8 +57,8 @@
         Ok(Secrets(secrets))
     }
 
-    /// Makes the proof that the sender of a message knows a secret. `secret` is the first one, or the one that the peer has
-    /// used for its own proof, because the peer may not know the first one yet.
+    /// Makes the proof that the sender of a message knows a secret. `secret` is the first one, or the one that the
+    /// peer has used for its own proof, because the peer may not know the first one yet.
     pub fn prove(
         &self,
         secret: SecretIndex,
--- a/crates/linenthread-frames/src/stream.rs
+++ b/crates/linenthread-frames/src/stream.rs
@@ -39,8 +39,8 @@
 /// Removes all complete frames from the buffer and passes each to `handle`, in order; an incomplete frame stays.
 ///
 /// # Errors
-/// [`DecodeError::InvalidLength`], or the error of `handle`. The frames before the failure are removed, and so is a frame
-/// for which `handle` failed.
+/// [`DecodeError::InvalidLength`], or the error of `handle`. The frames before the failure are removed, and so is a
+/// frame for which `handle` failed.
 pub fn drain_frames<E: From<DecodeError>>(
     buffer: &mut Vec<u8>,
     max_length: usize,
--- a/crates/linenthread-link/src/client/call_table.rs
+++ b/crates/linenthread-link/src/client/call_table.rs
@@ -143,8 +143,8 @@
         self.sent.get(&number).map(|sent| sent.id)
     }
 
-    /// Removes and returns the first call of the queue if the credit allows sending it. A call whose deadline would pass
-    /// within the latency `one_way` is reported as expired and stays in the queue.
+    /// Removes and returns the first call of the queue if the credit allows sending it. A call whose deadline would
+    /// pass within the latency `one_way` is reported as expired and stays in the queue.
     pub(super) fn next_to_send(
         &mut self,
         now: TenthMillis,
--- a/crates/linenthread-link/src/client/calls.rs
+++ b/crates/linenthread-link/src/client/calls.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Fails calls that were not written completely when the connection was lost: they never ran. Whether the others ran
-    /// is unknown until the session resumes or ends.
+    /// Fails calls that were not written completely when the connection was lost: they never ran. Whether the others
+    /// ran is unknown until the session resumes or ends.
     pub(super) fn fail_incompletely_written(&mut self, actions: &mut Vec<ClientAction>) {
         for id in self.calls.incompletely_written() {
             self.fail(id, AttemptOutcome::NotSent, actions);
--- a/crates/linenthread-link/src/client/config.rs
+++ b/crates/linenthread-link/src/client/config.rs
@@ -19,8 +19,8 @@
     pub session_timeout: TenthMillis,
     /// The time between two pings.
     pub ping_interval: TenthMillis,
-    /// The longest time for which a call waits for credit or for the connection; after that the caller should use another
-    /// route. A link that is re-established within this time is not reported as down.
+    /// The longest time for which a call waits for credit or for the connection; after that the caller should use
+    /// another route. A link that is re-established within this time is not reported as down.
     pub grace_period: TenthMillis,
     /// The backoff before the first reconnect; it doubles with each failure and has random jitter.
     pub min_backoff: TenthMillis,
--- a/crates/linenthread-link/src/client/heartbeat.rs
+++ b/crates/linenthread-link/src/client/heartbeat.rs
@@ -39,8 +39,8 @@
         self.last_received = now;
     }
 
-    /// Handles that the connection is established; `handshake` is the time since it was opened. The first ping is due at
-    /// once.
+    /// Handles that the connection is established; `handshake` is the time since it was opened. The first ping is due
+    /// at once.
     pub(super) fn on_established(&mut self, now: TenthMillis, handshake: TenthMillis) {
         self.last_ping = now - self.ping_interval;
         self.add_round_trip(handshake);
--- a/crates/linenthread-link/src/client/mod.rs
+++ b/crates/linenthread-link/src/client/mod.rs
@@ -12,12 +12,12 @@
 //! | disconnected | session time-out | disconnected; calls that were written completely may have run |
 //! | established | goodbye | established, and reported as down; no new calls are sent |
 //!
-//! Invariants: *completes once*, a call leaves the table when it completes or is withdrawn, and only then; *never ran is
-//! proven*, a call that was sent is reported as never run only if it was not written completely, or if the server reports
-//! that it was not received.
+//! Invariants: *completes once*, a call leaves the table when it completes or is withdrawn, and only then;
+//! *never ran is proven*, a call that was sent is reported as never run only if it was not written completely, or if
+//! the server reports that it was not received.
 //!
-//! Modules: `connection` (opened, lost, closed), `handshake`, `session` (resumed after an interruption, or ended), `calls`
-//! with its `call_table` and `send_window`, `heartbeat` with its `round_trip`, `replicas` (behind the link),
+//! Modules: `connection` (opened, lost, closed), `handshake`, `session` (resumed after an interruption, or ended),
+//! `calls` with its `call_table` and `send_window`, `heartbeat` with its `round_trip`, `replicas` (behind the link),
 //! `availability` (as reported to the driver), and `backoff`.
 
 mod availability;
@@ -110,8 +110,8 @@
         self.calls.len()
     }
 
-    /// Reports whether the connection is established and the server accepts calls; a call is then sent as soon as there is
-    /// credit.
+    /// Reports whether the connection is established and the server accepts calls; a call is then sent as soon as
+    /// there is credit.
     pub fn is_ready(&self) -> bool {
         matches!(
             self.connection,
--- a/crates/linenthread-link/src/client/replicas.rs
+++ b/crates/linenthread-link/src/client/replicas.rs
@@ -7,8 +7,8 @@
 use crate::id::ProbeId;
 
 impl LinkClient {
-    /// Starts a health check of a replica behind the link. [`ClientAction::ProbeCompleted`] follows when the server reports
-    /// the outcome or the connection ends, or at once if the probe cannot be sent.
+    /// Starts a health check of a replica behind the link. [`ClientAction::ProbeCompleted`] follows when the server
+    /// reports the outcome or the connection ends, or at once if the probe cannot be sent.
     pub fn probe(&mut self, replica: String, actions: &mut Vec<ClientAction>) -> ProbeId {
         let id = ProbeId(self.next_id());
         if self.is_ready() && self.probes.len() < self.config.max_in_flight {
--- a/crates/linenthread-link/src/client/session.rs
+++ b/crates/linenthread-link/src/client/session.rs
@@ -81,8 +81,8 @@
         actions.extend(received.map(|number| ClientAction::Send(Frame::Withdraw { number })));
     }
 
-    /// Ends the session. Sent calls fail; those that were written completely may have run. Queued calls stay for the next
-    /// session.
+    /// Ends the session. Sent calls fail; those that were written completely may have run. Queued calls stay for the
+    /// next session.
     pub(super) fn end_session(&mut self, actions: &mut Vec<ClientAction>) {
         for unresolved in self.calls.unresolved() {
             let outcome = if unresolved.may_have_run {
@@ -96,8 +96,8 @@
         self.session = Session::new(self.session.id);
     }
 
-    /// Ends the session after the session time-out. The next one has another id, so that no outcome of this one can arrive
-    /// any more.
+    /// Ends the session after the session time-out. The next one has another id, so that no outcome of this one can
+    /// arrive any more.
     pub(super) fn expire_session(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
         if matches!(self.connection, Connection::Handshaking { .. }) {
             // The hello may already have named the session.
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -116,8 +116,8 @@
         frames::encode_frame(self.kind(), |encoder| self.encode_fields(encoder))
     }
 
-    /// Decodes the first frame in the bytes read, and returns it with the number of bytes that it occupies; `None` if it
-    /// is incomplete.
+    /// Decodes the first frame in the bytes read, and returns it with the number of bytes that it occupies; `None` if
+    /// it is incomplete.
     ///
     /// # Errors
     ///
--- a/crates/linenthread-link/src/server/calls.rs
+++ b/crates/linenthread-link/src/server/calls.rs
@@ -8,8 +8,8 @@
 use crate::time::from_wire_millis;
 
 impl LinkServer {
-    /// Handles the end of a call that was started by [`ServerAction::StartCall`]: retains its outcome and sends it if the
-    /// session is connected.
+    /// Handles the end of a call that was started by [`ServerAction::StartCall`]: retains its outcome and sends it if
+    /// the session is connected.
     pub fn on_call_completed(
         &mut self,
         id: SessionId,
--- a/crates/linenthread-link/src/server/config.rs
+++ b/crates/linenthread-link/src/server/config.rs
@@ -73,8 +73,8 @@
     },
 }
 
-/// The reason for which a server closes a connection. The texts are sent to the client in [`Frame::Refuse`] and are part
-/// of the wire format, except those of `Superseded` and `SessionDropped`, which are only logged.
+/// The reason for which a server closes a connection. The texts are sent to the client in [`Frame::Refuse`] and are
+/// part of the wire format, except those of `Superseded` and `SessionDropped`, which are only logged.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum ServerCloseReason {
     /// The first frame was not a hello.
--- a/crates/linenthread-link/src/server/handshake.rs
+++ b/crates/linenthread-link/src/server/handshake.rs
@@ -9,7 +9,8 @@
 use crate::id::{ConnectionId, SessionId};
 
 impl LinkServer {
-    /// Handles the first frame received on a connection. `Err` has the reason for which the connection is to be refused.
+    /// Handles the first frame received on a connection. `Err` has the reason for which the connection is to be
+    /// refused.
     pub(super) fn establish(
         &mut self,
         now: TenthMillis,
--- a/crates/linenthread-link/src/server/mod.rs
+++ b/crates/linenthread-link/src/server/mod.rs
@@ -59,8 +59,8 @@
 }
 
 impl LinkServer {
-    /// Creates a server without connections and sessions. The seed must differ at each start: the sessions' epochs derive
-    /// from it and distinguish them from sessions before a restart.
+    /// Creates a server without connections and sessions. The seed must differ at each start: the sessions' epochs
+    /// derive from it and distinguish them from sessions before a restart.
     pub fn new(config: ServerConfig, secrets: Secrets, seed: u64) -> LinkServer {
         LinkServer {
             config,
--- a/crates/linenthread-link/tests/client_and_server/flow_control.rs
+++ b/crates/linenthread-link/tests/client_and_server/flow_control.rs
@@ -1,4 +1,4 @@
-//! Credit, the queue that waits for it, and the bounds of that queue.
+//! Credit, the queue of calls that wait for it, and the limits of that queue.
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_link::CallId;
@@ -6,8 +6,7 @@
 use crate::pair::Pair;
 
 #[test]
-fn where_credit_is_short_the_highest_priority_goes_first_and_no_call_waits_beyond_the_grace_period()
-{
+fn queued_calls_are_sent_by_priority_and_fail_after_the_grace_period() {
     let mut pair = Pair::established(2);
     let ids: Vec<CallId> = [("a", 1), ("b", 1), ("c", 1), ("d", 3), ("e", 2)]
         .into_iter()
@@ -18,14 +17,14 @@
     pair.complete(1, AttemptOutcome::Rejected);
     assert_eq!(pair.started_texts(), "abde");
     pair.now += 500;
-    pair.time_out();
+    pair.run_client_timers();
     let completed = [
         (ids[0], AttemptOutcome::Success),
         (ids[1], AttemptOutcome::Rejected),
         (ids[2], AttemptOutcome::NotSent),
     ];
     assert_eq!(pair.completed, completed);
-    // Bytes are limited as well as calls.
+    // The total size of queued calls is limited, too.
     let long = "x".repeat(6_000);
     for _ in 0..2 {
         pair.call(&long, 1);
--- a/crates/linenthread-link/tests/client_and_server/handshake.rs
+++ b/crates/linenthread-link/tests/client_and_server/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake: who is accepted, and which versions are spoken.
+//! The handshake: authentication and the choice of the version.
 
 use linenthread_link::frame::Hello;
 use linenthread_link::{
@@ -9,7 +9,7 @@
 use crate::pair::{NEW, OLD, Pair, challenge, client, server};
 
 #[test]
-fn only_a_client_with_the_secret_is_accepted_and_two_secrets_may_be_valid_at_once() {
+fn a_client_is_accepted_if_its_first_secret_is_one_of_the_servers() {
     for (client_has, server_has, accepted) in [
         (&[NEW][..], &[NEW][..], true),
         (&[OLD], &[NEW, OLD], true),
@@ -19,7 +19,7 @@
         (&[NEW, OLD], &[OLD], false),
     ] {
         let mut pair = Pair::new(client(client_has), server(server_has, 4));
-        pair.time_out();
+        pair.run_client_timers();
         assert_eq!(
             pair.client.is_ready(),
             accepted,
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn a_replayed_hello_proves_nothing_and_other_versions_are_refused() {
+fn replayed_hellos_other_versions_and_other_first_frames_are_refused() {
     let mut pair = Pair::established(4);
     let hello = pair.sent[0].clone();
-    // On a connection of its own, with a nonce of its own.
+    // The replay is on a new connection, whose challenge has another nonce.
     pair.connection = ConnectionId(77);
     pair.at_server(LinkServer::on_accepted);
     let mut actions = Vec::new();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_server_of_other_versions_is_left() {
+fn a_client_closes_the_connection_to_a_server_that_does_not_support_its_version() {
     let mut client = client(&[NEW]);
     let mut actions = Vec::new();
     client.on_timeout(0, &mut actions);
--- a/crates/linenthread-link/tests/client_and_server/interruptions.rs
+++ b/crates/linenthread-link/tests/client_and_server/interruptions.rs
@@ -1,4 +1,4 @@
-//! Lost connections: what is reported, what goes on in the session, and what is closed.
+//! Lost connections: which are reported to the driver, and how the session is resumed.
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_link::frame::Credit;
@@ -7,34 +7,35 @@
 use crate::pair::{Pair, call_frame, challenge};
 
 #[test]
-fn a_short_interruption_is_not_reported_and_a_long_one_is() {
+fn only_interruptions_beyond_the_grace_period_are_reported() {
     let mut pair = Pair::established(4);
     pair.call("a", 1);
     pair.disconnect();
     let queued = pair.call("b", 1);
     pair.now += 100;
-    pair.time_out();
+    pair.run_client_timers();
     assert_eq!(
         (pair.availability.as_slice(), pair.completed.len()),
         (&[LinkAvailability::Up][..], 0)
     );
     assert_eq!(
         pair.started[1].text, "b",
-        "it is sent once the link is back"
+        "it is sent once the connection is re-established"
     );
     pair.complete(0, AttemptOutcome::Success);
     pair.complete(1, AttemptOutcome::Success);
     assert_eq!(pair.completed[1], (queued, AttemptOutcome::Success));
     pair.disconnect();
     pair.call("c", 1);
-    // No connection can be opened; after the grace period that is reported, and queued calls never ran.
+    // No connection can be opened: after the grace period the link is reported as down, and queued calls fail as not
+    // sent.
     for _ in 0..6 {
         pair.now += 100;
         let mut actions = Vec::new();
         pair.client.on_timeout(pair.now, &mut actions);
         actions.retain(|action| *action != ClientAction::Connect);
         pair.client.on_disconnected(pair.now, &mut actions);
-        pair.carry_out(actions);
+        pair.execute(actions);
     }
     assert_eq!(
         pair.availability,
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn an_unexpected_frame_ends_the_connection_and_nothing_else() {
+fn an_unexpected_frame_closes_the_connection_but_not_the_session() {
     let unexpected = [
         call_frame(3, "x"),
         call_frame(2, &"x".repeat(20_000)),
@@ -67,9 +68,9 @@
             !pair.client.is_ready() && pair.is_closed_by_either(),
             "{frame:?}"
         );
-        // The session goes on, and the outcome with it.
+        // The session is resumed, and the outcome is delivered.
         pair.now += 150;
-        pair.time_out();
+        pair.run_client_timers();
         pair.complete(0, AttemptOutcome::Success);
         assert_eq!(
             pair.completed,
--- a/crates/linenthread-link/tests/client_and_server/main.rs
+++ b/crates/linenthread-link/tests/client_and_server/main.rs
@@ -1,4 +1,4 @@
-//! A client and a server joined without a socket, edge by edge.
+//! A client and a server connected without a socket.
 
 mod draining;
 mod flow_control;
--- a/crates/linenthread-link/tests/client_and_server/pair.rs
+++ b/crates/linenthread-link/tests/client_and_server/pair.rs
@@ -1,4 +1,4 @@
-//! A client and a server joined without a socket, and what both have done.
+//! A client and a server connected without a socket, with a record of their actions.
 
 use linenthread_core::interface::{AttemptOutcome, Phase, TenthMillis};
 use linenthread_link::frame::{CallOutcome, CallRequest, Challenge};
@@ -80,10 +80,10 @@
     }
 }
 
-/// A list of members that the client has passed on.
+/// A report about the members from the client to its driver.
 #[derive(Debug, PartialEq)]
 pub(crate) struct ReceivedMembers {
-    /// It is the complete list; otherwise what has changed.
+    /// Whether it is the complete list or the changes.
     complete: bool,
     /// The phase of each member, by its id.
     phases: Vec<(String, Phase)>,
@@ -97,7 +97,7 @@
     ReceivedMembers { complete, phases }
 }
 
-/// A call that runs at the server.
+/// A call started by the server.
 #[derive(Clone)]
 pub(crate) struct Started {
     pub(crate) session: SessionId,
@@ -105,7 +105,7 @@
     pub(crate) text: String,
 }
 
-/// Two ends and what they have done.
+/// A client, a server, and a record of their actions.
 pub(crate) struct Pair {
     pub(crate) client: LinkClient,
     pub(crate) server: LinkServer,
@@ -117,7 +117,7 @@
     pub(crate) closed_by_client: Vec<ClientCloseReason>,
     pub(crate) closed_by_server: Vec<ServerCloseReason>,
     pub(crate) received_members: Vec<ReceivedMembers>,
-    /// Frames that the client has sent.
+    /// The frames sent by the client.
     pub(crate) sent: Vec<Frame>,
 }
 
@@ -140,11 +140,12 @@
 
     pub(crate) fn established(window_calls: u64) -> Pair {
         let mut pair = Pair::new(client(&[NEW]), server(&[NEW], window_calls));
-        pair.time_out();
+        pair.run_client_timers();
         pair
     }
 
-    pub(crate) fn carry_out(&mut self, actions: Vec<ClientAction>) {
+    /// Executes and records the client's actions.
+    pub(crate) fn execute(&mut self, actions: Vec<ClientAction>) {
         for action in actions {
             match action {
                 ClientAction::Connect => {
@@ -180,6 +181,7 @@
         }
     }
 
+    /// Passes an event to the server, then executes and records its actions.
     pub(crate) fn at_server(
         &mut self,
         event: impl FnOnce(&mut LinkServer, TenthMillis, ConnectionId, &mut Vec<ServerAction>),
@@ -210,7 +212,7 @@
     pub(crate) fn client_receives(&mut self, frame: Frame) {
         let mut actions = Vec::new();
         self.client.on_frame(self.now, frame, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     pub(crate) fn server_receives(&mut self, frame: Frame) {
@@ -219,10 +221,10 @@
         });
     }
 
-    pub(crate) fn time_out(&mut self) {
+    pub(crate) fn run_client_timers(&mut self) {
         let mut actions = Vec::new();
         self.client.on_timeout(self.now, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     pub(crate) fn call(&mut self, text: &str, priority: u32) -> CallId {
@@ -231,7 +233,7 @@
         let id = self
             .client
             .call(self.now, call(text), deadline, priority, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
         id
     }
 
@@ -253,7 +255,7 @@
     pub(crate) fn disconnect(&mut self) {
         let mut actions = Vec::new();
         self.client.on_disconnected(self.now, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
         self.server.on_disconnected(self.now, self.connection);
     }
 
@@ -261,7 +263,7 @@
         !self.closed_by_client.is_empty() || !self.closed_by_server.is_empty()
     }
 
-    /// What was closed and why, for a failed assertion.
+    /// Formats the reasons for closed connections, for the message of a failed assertion.
     pub(crate) fn close_reasons(&self) -> String {
         format!("{:?} {:?}", self.closed_by_client, self.closed_by_server)
     }
--- a/crates/linenthread-link/tests/client_and_server/replicas.rs
+++ b/crates/linenthread-link/tests/client_and_server/replicas.rs
@@ -7,20 +7,20 @@
 use crate::pair::{NEW, Pair, client, member, received_members, server};
 
 #[test]
-fn the_members_are_sent_completely_once_and_then_by_their_changes() {
-    let (ready, draining, gone) = (Phase::Ready, Phase::Draining, Phase::Removed);
+fn members_are_sent_once_completely_and_then_as_changes() {
+    let (ready, draining, removed) = (Phase::Ready, Phase::Draining, Phase::Removed);
     let mut pair = Pair::new(client(&[NEW]), server(&[NEW], 4));
     pair.at_server(|server, _, _, actions| {
         server.set_members(vec![member("a", ready), member("b", ready)], actions);
     });
-    pair.time_out();
+    pair.run_client_timers();
     pair.at_server(|server, _, _, actions| {
         server.set_members(vec![member("a", draining), member("c", ready)], actions);
     });
     let complete = received_members(true, &[("a", ready), ("b", ready)]);
-    let changes = received_members(false, &[("a", draining), ("c", ready), ("b", gone)]);
+    let changes = received_members(false, &[("a", draining), ("c", ready), ("b", removed)]);
     assert_eq!(pair.received_members, [complete, changes]);
-    // An update that does not follow on the last one ends the connection: the complete list comes with the next.
+    // After a missed update the client closes the connection; the complete list is sent on the next one.
     pair.client_receives(Frame::Members(MembersUpdate {
         revision: 9,
         complete: false,
@@ -29,7 +29,7 @@
     assert!(!pair.client.is_ready());
     pair.server.on_disconnected(pair.now, pair.connection);
     pair.now += 150;
-    pair.time_out();
+    pair.run_client_timers();
     assert_eq!(
         pair.received_members[2],
         received_members(true, &[("a", draining), ("c", ready)])
--- a/crates/linenthread-link/tests/frames.rs
+++ b/crates/linenthread-link/tests/frames.rs
@@ -116,14 +116,14 @@
     ]
 }
 
-/// Makes the length field fit the bytes.
+/// Sets the length field to the actual length.
 fn set_length(frame: &mut [u8]) {
     let length = u32::try_from(frame.len() - 4).unwrap();
     frame[..4].copy_from_slice(&length.to_be_bytes());
 }
 
 #[test]
-fn frames_are_decoded_as_they_were_encoded_and_options_are_skipped() {
+fn frames_round_trip_and_options_are_skipped() {
     for frame in frames_of_all_kinds() {
         let bytes = frame.encode();
         assert_eq!(
@@ -132,7 +132,7 @@
         );
         for cut in 0..bytes.len() {
             assert_eq!(Frame::decode(&bytes[..cut]), Ok(None), "cut at {cut}");
-            // The same bytes under a shorter length are not the same frame.
+            // The truncated bytes with a matching length field must not decode to the same frame.
             let mut short = bytes[..cut.max(5)].to_vec();
             set_length(&mut short);
             if let Ok(Some((other, _))) = Frame::decode(&short) {
@@ -150,14 +150,14 @@
 }
 
 #[test]
-fn what_cannot_be_a_frame_is_an_error() {
+fn invalid_frames_are_errors() {
     assert!(Frame::decode(&[0, 0, 0, 0]).is_err());
     assert!(Frame::decode(&[0, 0, 0, 1, 99]).is_err());
     assert!(Frame::decode(&[0x7f, 0, 0, 0]).is_err());
 }
 
 #[test]
-fn a_withdraw_has_these_bytes() {
+fn a_withdraw_is_encoded_as_expected() {
     let withdraw = Frame::Withdraw {
         number: CallNumber(258),
     };
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_member_has_a_name_of_some_length_and_a_replica_group_of_the_layout() {
+fn members_with_invalid_names_or_replica_groups_are_not_valid() {
     let valid = member(Phase::Draining, Some(7), 500);
     assert!(valid.is_valid(5));
     let with_group = Member {
@@ -185,9 +185,9 @@
     assert!(!long_zone.is_valid(5));
 }
 
-/// The worked examples of `docs/link.md` are what is sent.
+/// Checks that `docs/link.md` has the encoding of each worked example.
 #[test]
-fn the_page_shows_the_bytes_that_are_sent() {
+fn worked_examples_in_the_documentation_match_the_encoding() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/link.md");
     let page = std::fs::read_to_string(file).unwrap();
     let page = page.replace(' ', "");
--- a/crates/linenthread-link/tests/golden.rs
+++ b/crates/linenthread-link/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The link's wire format, held fast by bytes that an earlier version wrote.
+//! The link's wire format, compared with bytes written by an earlier version.
 //!
 //! The file under `tests/golden/` was written by commit 464716d. It must never be regenerated to make a test pass:
-//! the other side of a link may run an older version.
+//! the peer may run an older version.
 
 use linenthread_core::interface::{AttemptOutcome, Phase};
 use linenthread_frames::{Nonce, Proof};
@@ -22,7 +22,7 @@
     }
 }
 
-/// Bytes that count up from the first, so that each has a value of its own.
+/// Returns bytes that count up from `first`, so that each has a different value.
 fn counting_bytes<const N: usize>(first: u8) -> [u8; N] {
     let mut bytes = first..;
     std::array::from_fn(|_| bytes.next().expect("a byte is free"))
@@ -36,7 +36,7 @@
     counting_bytes(0x80)
 }
 
-/// The frames that establish a connection, and the one that refuses it.
+/// The frames that establish or refuse a connection.
 fn handshake_frames() -> [(&'static str, Frame); 4] {
     let challenge = Challenge {
         min_version: 1,
@@ -71,7 +71,7 @@
     ]
 }
 
-/// The frames of calls and their flow control, but for outcomes.
+/// The frames for calls and flow control, except outcomes.
 fn call_frames() -> [(&'static str, Frame); 4] {
     let call = Call {
         replica: "replica-1".to_owned(),
@@ -103,7 +103,7 @@
     ]
 }
 
-/// The frames that a connection carries beside calls.
+/// The frames for pings, members, probes and draining.
 fn other_frames() -> [(&'static str, Frame); 5] {
     let members = MembersUpdate {
         revision: 1_012,
@@ -127,7 +127,7 @@
     ]
 }
 
-/// Every outcome, of a call and of a health check, each named after its code.
+/// Each outcome of a call and of a health check, named after its code.
 fn outcome_frames() -> Vec<(String, Frame)> {
     let outcomes = [
         AttemptOutcome::Success,
@@ -158,7 +158,7 @@
     frames
 }
 
-/// Every frame with each field set to a value of its own, in the order of the golden file.
+/// All frames, in the order of the golden file. Each field has a different value, so that swapped fields are detected.
 fn frames() -> Vec<(String, Frame)> {
     handshake_frames()
         .into_iter()
--- a/crates/linenthread-link/tests/routing.rs
+++ b/crates/linenthread-link/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The choice among several links that lead to the same replica.
+//! Selection among several links to the same replica.
 
 use linenthread_core::interface::{Phase, TenthMillis};
 use linenthread_link::Member;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_call_takes_the_link_that_is_up_quick_and_has_capacity() {
+fn the_usable_link_with_the_lowest_cost_is_selected() {
     assert_eq!(
         select(&[link(true, 20, 0), link(true, 100, 0)], None),
         Some(0)
@@ -64,18 +64,18 @@
 }
 
 #[test]
-fn of_two_reports_the_more_conservative_values_apply() {
+fn merged_reports_have_the_most_conservative_values() {
     let a = member(Phase::Ready, None, 500);
     let b = member(Phase::Draining, Some(7), 250);
     assert_eq!(
         merge_reports([&a, &b].into_iter()),
         Some(member(Phase::Draining, Some(7), 250))
     );
-    let gone = member(Phase::Removed, None, 0);
+    let removed = member(Phase::Removed, None, 0);
     assert_eq!(
-        merge_reports([&gone, &a].into_iter()),
+        merge_reports([&removed, &a].into_iter()),
         Some(a),
         "one list is out of date"
     );
-    assert_eq!(merge_reports([&gone].into_iter()), None);
+    assert_eq!(merge_reports([&removed].into_iter()), None);
 }
