--- a/crates/linenthread-frames/tests/golden.rs
+++ b/crates/linenthread-frames/tests/golden.rs
@@ -47,14 +47,14 @@
         b"the first secret of this test".to_vec(),
         b"the second secret of it".to_vec(),
     ];
-    Secrets::new(secrets).expect("they are long enough")
+    Secrets::new(secrets).expect("the secrets are long enough")
 }
 
 #[test]
 fn fields_have_the_bytes_of_version_464716d() {
     let golden = named_bytes(include_str!("golden/fields.hex")).collect::<Vec<_>>();
     let [(_, bytes)] = &golden[..] else {
-        panic!("one frame");
+        panic!("the golden file does not have exactly one frame");
     };
     assert_eq!(frame(), *bytes);
     let frame = first_frame(bytes, MAX_LENGTH)
--- a/crates/linenthread-installation/src/gateway.rs
+++ b/crates/linenthread-installation/src/gateway.rs
@@ -43,7 +43,7 @@
     pub session_timeout: Duration,
     /// The time between two pings.
     pub ping_interval: Duration,
-    /// The longest time for which a call waits for credit or for a lost connection.
+    /// The longest time for which a call waits for credit or, after an interruption, for the connection.
     pub grace_period: Duration,
 }
 
--- a/crates/linenthread-link/src/client/calls.rs
+++ b/crates/linenthread-link/src/client/calls.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Handles that the last byte of a call's frame has been written.
+    /// Records that a call's frame has been written completely; from then on the call may run.
     pub fn on_call_written(&mut self, number: CallNumber) {
         self.calls.on_written(number);
     }
--- a/crates/linenthread-link/src/client/connection.rs
+++ b/crates/linenthread-link/src/client/connection.rs
@@ -24,13 +24,13 @@
 }
 
 impl LinkClient {
-    /// Handles that the connection requested by [`ClientAction::Connect`] has been opened.
+    /// Handles the opening of the connection requested by [`ClientAction::Connect`].
     pub fn on_connected(&mut self, now: TenthMillis) {
         self.connection = Connection::Handshaking { since: now };
         self.heartbeat.on_received(now);
     }
 
-    /// Handles that the connection has ended or could not be opened.
+    /// Handles the end of the connection, or a failed attempt to open it.
     pub fn on_disconnected(&mut self, now: TenthMillis, actions: &mut Vec<ClientAction>) {
         match self.connection {
             Connection::Disconnected { .. } => return,
--- a/crates/linenthread-link/src/client/heartbeat.rs
+++ b/crates/linenthread-link/src/client/heartbeat.rs
@@ -39,8 +39,8 @@
         self.last_received = now;
     }
 
-    /// Handles that the connection is established; `handshake` is the time since it was opened. The first ping is due
-    /// at once.
+    /// Starts pinging on an established connection; the first ping is due at once. `handshake`, the time since the
+    /// connection was opened, is the first round trip measured on it.
     pub(super) fn on_established(&mut self, now: TenthMillis, handshake: TenthMillis) {
         self.last_ping = now - self.ping_interval;
         self.add_round_trip(handshake);
--- a/crates/linenthread-link/src/frame/member.rs
+++ b/crates/linenthread-link/src/frame/member.rs
@@ -8,7 +8,7 @@
 
 /// The maximum length of a replica id or a zone name, in bytes.
 const MAX_NAME_BYTES: usize = 128;
-/// The encoding of an age that is not known because the replica started long ago.
+/// The encoding of the age `None`, for a replica that started long ago.
 const AGE_UNKNOWN: u32 = u32::MAX;
 /// The whole slow-start budget, in thousandths.
 const MAX_SHARE: u16 = 1_000;
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -55,7 +55,7 @@
     Hello(Hello),
     /// Sent by the server in reply to the hello; the connection is established.
     Welcome(Welcome),
-    /// Sent by either end when it closes the connection for a fault of its peer.
+    /// Sent by either end when it refuses the connection or closes it because of an error.
     Refuse {
         /// The reason, for the peer's log.
         reason: String,
--- a/crates/linenthread-link/src/routing.rs
+++ b/crates/linenthread-link/src/routing.rs
@@ -16,9 +16,9 @@
     pub is_usable: bool,
     /// The one-way latency in tenths of a millisecond; 0 while unknown.
     pub one_way: TenthMillis,
-    /// Calls that have not completed.
+    /// The number of pending calls.
     pub in_flight: u64,
-    /// The most calls that may be in flight.
+    /// The maximum number of pending calls.
     pub capacity: u64,
 }
 
--- a/crates/linenthread-link/src/server/calls.rs
+++ b/crates/linenthread-link/src/server/calls.rs
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Cancels a call if it is running, and drops its outcome.
+    /// Drops a call whose outcome the client no longer needs; if it is running, it is cancelled.
     pub(super) fn on_withdraw(
         &mut self,
         id: SessionId,
--- a/crates/linenthread-link/src/server/handshake.rs
+++ b/crates/linenthread-link/src/server/handshake.rs
@@ -69,10 +69,10 @@
 
     /// Closes a session's older connection. Frames that still arrive on it are ignored, so that the session's state as
     /// stated in the welcome remains correct.
-    fn close_superseded(&mut self, connection: ConnectionId, actions: &mut Vec<ServerAction>) {
-        self.connections.remove(&connection);
+    fn close_superseded(&mut self, superseded: ConnectionId, actions: &mut Vec<ServerAction>) {
+        self.connections.remove(&superseded);
         actions.push(ServerAction::Close {
-            connection,
+            connection: superseded,
             reason: ServerCloseReason::Superseded,
         });
     }
--- a/crates/linenthread-link/tests/client_and_server/handshake.rs
+++ b/crates/linenthread-link/tests/client_and_server/handshake.rs
@@ -47,7 +47,7 @@
         "{actions:?}"
     );
     let Frame::Hello(hello) = hello else {
-        panic!("a hello")
+        panic!("the first frame is not a hello")
     };
     for first in [
         Frame::Hello(Hello {
--- a/crates/linenthread-link/tests/client_and_server/pair.rs
+++ b/crates/linenthread-link/tests/client_and_server/pair.rs
@@ -17,7 +17,7 @@
 
 pub(crate) fn client(secret: &[&[u8]]) -> LinkClient {
     let config = ClientConfig {
-        name: "near".into(),
+        name: "client".into(),
         max_in_flight: 8,
         max_queued_bytes: 10_000,
         session_timeout: 5_000,
@@ -31,7 +31,7 @@
 
 pub(crate) fn server(secret: &[&[u8]], window_calls: u64) -> LinkServer {
     let config = ServerConfig {
-        name: "far".into(),
+        name: "server".into(),
         window_calls,
         window_bytes: 10_000,
         session_timeout: 5_000,
--- a/crates/linenthread-link/tests/golden.rs
+++ b/crates/linenthread-link/tests/golden.rs
@@ -25,7 +25,7 @@
 /// Returns bytes that count up from `first`, so that each has a different value.
 fn counting_bytes<const N: usize>(first: u8) -> [u8; N] {
     let mut bytes = first..;
-    std::array::from_fn(|_| bytes.next().expect("a byte is free"))
+    std::array::from_fn(|_| bytes.next().expect("fewer than 256 bytes"))
 }
 
 fn nonce() -> Nonce {
