--- a/crates/linenthread-link/tests/client_and_server/handshake.rs
+++ b/crates/linenthread-link/tests/client_and_server/handshake.rs
@@ -9,7 +9,7 @@
 use crate::pair::{NEW, OLD, Pair, challenge, client, server};
 
 #[test]
-fn a_client_is_accepted_if_its_first_secret_is_one_of_the_servers() {
+fn a_client_is_accepted_only_if_its_first_secret_is_one_of_the_servers() {
     for (client_has, server_has, accepted) in [
         (&[NEW][..], &[NEW][..], true),
         (&[OLD], &[NEW, OLD], true),
--- a/crates/linenthread-link/tests/frames.rs
+++ b/crates/linenthread-link/tests/frames.rs
@@ -132,7 +132,8 @@
         );
         for cut in 0..bytes.len() {
             assert_eq!(Frame::decode(&bytes[..cut]), Ok(None), "cut at {cut}");
-            // The truncated bytes with a matching length field must not decode to the same frame.
+            // With a matching length field, truncated bytes may decode to another frame. A frame of five bytes is not
+            // truncated here, and must decode to itself.
             let mut short = bytes[..cut.max(5)].to_vec();
             set_length(&mut short);
             if let Ok(Some((other, _))) = Frame::decode(&short) {
