--- a/crates/linenthread-simulation/src/system/checker/catch_up.rs
+++ b/crates/linenthread-simulation/src/system/checker/catch_up.rs
@@ -1,4 +1,4 @@
-//! What a machine that was started needs to have the newest value is bounded.
+//! Checks the bounds on messages, bytes and time until a started machine has the newest value.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 use super::super::invariant::Invariant;
 use super::super::world::World;
 
-/// Messages that a machine may need.
+/// Maximum number of messages until a machine has caught up.
 const MAX_MESSAGES: usize = 400;
-/// Bytes that it may need, beside those that go with the number of changes.
+/// Maximum number of bytes until a machine has caught up, in addition to [`BYTES_PER_CHANGE`].
 const MAX_BYTES: usize = 192 << 10;
-/// Bytes that may be remembered of each committed change.
+/// Maximum number of bytes stored for each committed change.
 pub(super) const BYTES_PER_CHANGE: usize = 48;
-/// How long it may take once the faults are over.
+/// Maximum time to catch up after the end of the faults.
 const MAX_TIME: Duration = Duration::from_millis(6_000);
 
 impl World {
-    /// [`Invariant::CatchesUp`]: with a bounded number of messages and bytes, and in time without faults.
+    /// Checks [`Invariant::CatchesUp`] for a process that has caught up, if it was started after the faults.
     pub(super) fn check_catch_up(&mut self, node: usize, decided_number: ValueNumber) {
         let now = self.now();
         let machine = &mut self.machines[node];
@@ -33,7 +33,7 @@
         let coverage = &mut self.report.coverage;
         coverage.max_catch_up_messages = coverage.max_catch_up_messages.max(messages);
         coverage.max_catch_up_bytes = coverage.max_catch_up_bytes.max(bytes);
-        // During faults a machine may be partitioned off, and receives other messages meanwhile.
+        // During faults a machine may be partitioned off, and receive unrelated messages meanwhile.
         let is_bounded = self
             .healed_at
             .is_some_and(|healed_at| catch_up.started_at >= healed_at);
@@ -47,7 +47,8 @@
         }
     }
 
-    /// [`Invariant::CatchesUp`]: of those that were started after the faults none is still behind.
+    /// Checks [`Invariant::CatchesUp`] at the end of a schedule: no machine has been behind for longer than
+    /// [`MAX_TIME`].
     pub(super) fn check_all_caught_up(&mut self) {
         for node in 0..self.machines.len() {
             if let Some(target) = self.is_overdue(node) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The value that a machine should have by now and has not.
+    /// Returns the number of the value that a machine should have decided by now, if it has not.
     fn is_overdue(&self, node: usize) -> Option<ValueNumber> {
         let catch_up = self.machines[node].catch_up.as_ref()?;
         let start: Instant = catch_up.started_at.max(self.healed_at?);
--- a/crates/linenthread-simulation/src/system/checker/configuration.rs
+++ b/crates/linenthread-simulation/src/system/checker/configuration.rs
@@ -1,4 +1,4 @@
-//! Decided values, and responses to changes and reads.
+//! Checks decided values, and responses to changes and reads.
 
 use linenthread_consensus::{Order, Revision, ValueNumber};
 use linenthread_messages::Value;
@@ -8,7 +8,8 @@
 use super::super::world::World;
 
 impl World {
-    /// [`Invariant::MonotonicState`], [`Invariant::OneValuePerNumber`]: what this node has decided by now.
+    /// Checks [`Invariant::MonotonicState`] and [`Invariant::OneValuePerNumber`] for the newest decided value of a
+    /// node.
     pub(in super::super) fn check_decided(&mut self, node: usize) {
         let machine = &mut self.machines[node];
         let decided = machine
@@ -35,7 +36,8 @@
         self.check_catch_up(node, number);
     }
 
-    /// A value is decided: so the checker knows what is committed, whichever caller has a response.
+    /// Adds a decided value to the history, so that the checker knows what is committed even if no caller got a
+    /// response.
     fn add_value(&mut self, value: Value) {
         let revision = Revision::of(&value);
         match self.history.add_value(value) {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// [`Invariant::CommittedIsNeverRejected`].
+    /// Checks [`Invariant::CommittedIsNeverRejected`] for a rejected change.
     pub(in super::super) fn check_rejection(&mut self, node: usize, change: &Order, later: usize) {
         if self.history.is_committed(change) {
             let revision = change.revision;
@@ -60,7 +62,7 @@
         }
     }
 
-    /// [`Invariant::OneChangePerRevision`]: what is acknowledged is what is decided under its revision.
+    /// Checks [`Invariant::OneChangePerRevision`]: an acknowledged change is the one decided under its revision.
     pub(in super::super) fn check_is_committed(&mut self, node: usize, change: &Order) {
         if !self.history.is_committed(change) {
             let revision = change.revision;
@@ -69,14 +71,14 @@
         }
     }
 
-    /// [`Invariant::OneChangePerRevision`]: a rival of a committed change was acknowledged.
+    /// Records a violation of [`Invariant::OneChangePerRevision`]: a rival of a committed change was acknowledged.
     pub(in super::super) fn on_rival_acknowledged(&mut self, node: usize, change: &Order) {
         let revision = change.revision;
         let details = format!("another change of {revision} is acknowledged by {node}");
         self.violation(Invariant::OneChangePerRevision, &details);
     }
 
-    /// [`Invariant::OneChangePerRevision`], [`Invariant::OneChangePerBase`]: a new change is acknowledged.
+    /// Checks [`Invariant::OneChangePerRevision`] and [`Invariant::OneChangePerBase`] for a newly acknowledged change.
     pub(in super::super) fn check_acknowledgement(&mut self, node: usize, change: &Order) {
         self.report.coverage.acknowledgements += 1;
         self.check_is_committed(node, change);
@@ -88,8 +90,8 @@
         }
     }
 
-    /// [`Invariant::ReadsAreNewest`], [`Invariant::AcknowledgedLasts`]: a read returned this value, after
-    /// `acknowledged` had been acknowledged.
+    /// Checks [`Invariant::ReadsAreNewest`] and [`Invariant::AcknowledgedLasts`] for a read that returned `value` and
+    /// was sent after `acknowledged` had been acknowledged.
     pub(in super::super) fn check_read(&mut self, acknowledged: Revision, value: &Value) {
         self.report.coverage.reads += 1;
         let revision = Revision::of(value);
--- a/crates/linenthread-simulation/src/system/checker/convergence.rs
+++ b/crates/linenthread-simulation/src/system/checker/convergence.rs
@@ -1,4 +1,4 @@
-//! What holds at the end of a schedule, some time after the faults.
+//! Checks what must hold at the end of a schedule, some time after the faults.
 
 use linenthread_consensus::{Revision, document_digest};
 use linenthread_control::ControlNode;
@@ -10,15 +10,16 @@
 use super::super::world::World;
 use super::catch_up::BYTES_PER_CHANGE;
 
-/// Bytes of a log beside its state: the last records before it is compacted.
+/// Maximum size of a log beyond its state, in bytes: the last records before compaction.
 const LOG_SLACK_BYTES: u64 = 64 << 10;
-/// Bytes of a durable state beside those that go with the number of changes.
+/// Maximum size of a durable state, in bytes, in addition to [`BYTES_PER_CHANGE`].
 const STATE_BYTES: usize = 64 << 10;
-/// So many of the last changes may still be on their way to ingress nodes.
+/// Number of the last changes that may not have reached the ingress nodes yet.
 const CHANGES_IN_FLIGHT: usize = 3;
 
 impl World {
-    /// Checks the end of a schedule; until the faults ended so many changes had been acknowledged.
+    /// Checks the state at the end of a schedule; `acknowledged_before` changes were acknowledged before the faults
+    /// ended.
     pub(in super::super) fn check_end(&mut self, acknowledged_before: usize) {
         if self.report.coverage.acknowledgements == acknowledged_before {
             let details = "no change was acknowledged after the faults";
@@ -31,7 +32,7 @@
         self.check_state_bytes();
     }
 
-    /// [`Invariant::AcknowledgedLasts`].
+    /// Checks [`Invariant::AcknowledgedLasts`].
     fn check_acknowledged_changes(&mut self) {
         let lost: Vec<Revision> = self
             .history
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Nodes and acknowledged revisions that their order logs miss though they have decided later ones; replaced
-    /// disks have them, too.
+    /// Returns the nodes whose order logs lack an acknowledged revision, with that revision, although they have decided
+    /// it or a later one. Replaced disks must have all of them as well.
     fn missing_in_order_logs(&self) -> Vec<(usize, Revision)> {
         let mut missing = Vec::new();
         for (node, machine) in self.machines.iter().enumerate() {
@@ -83,7 +84,7 @@
         missing
     }
 
-    /// [`Invariant::Recovers`]: each ingress node has one of the newest configurations, and knows that it is
+    /// Checks [`Invariant::Recovers`]: each ingress node has one of the newest configurations, and knows that it is
     /// confirmed.
     fn check_ingress_nodes(&mut self) {
         let acknowledged = self.history.acknowledged.keys().rev();
@@ -103,7 +104,7 @@
         }
     }
 
-    /// [`Invariant::Recovers`]: each machine votes, or is the one standby.
+    /// Checks [`Invariant::Recovers`]: each machine votes or is the only standby.
     fn check_voters(&mut self) {
         let machines = self
             .machines
@@ -120,7 +121,7 @@
         }
     }
 
-    /// [`Invariant::BoundedState`].
+    /// Checks [`Invariant::BoundedState`].
     fn check_state_bytes(&mut self) {
         let max_state = STATE_BYTES + BYTES_PER_CHANGE * self.history.changes.len();
         let max_state = u64::try_from(max_state).unwrap_or(u64::MAX);
--- a/crates/linenthread-simulation/src/system/checker/lease.rs
+++ b/crates/linenthread-simulation/src/system/checker/lease.rs
@@ -1,4 +1,4 @@
-//! The leader lease, and the retry allowance that is granted under it.
+//! Checks the leader lease, and the retry allowance that is granted under it.
 
 use linenthread_consensus::Epoch;
 
@@ -6,11 +6,11 @@
 use super::super::invariant::Invariant;
 use super::super::world::World;
 
-/// Sums of shares are compared up to this.
+/// Tolerance in comparisons of sums of shares.
 const ROUNDING: f64 = 1e-6;
 
 impl World {
-    /// [`Invariant::OneLeaseHolderPerEpoch`].
+    /// Checks [`Invariant::OneLeaseHolderPerEpoch`].
     pub(in super::super) fn check_lease_holders(&mut self) {
         let epoch_of = |node: usize| {
             let control = self.machines[node].control.as_ref()?;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// [`Invariant::GrantsWithinAllowance`]: what all incarnations may have used within any window.
+    /// Checks [`Invariant::GrantsWithinAllowance`] for what all incarnations may have used in the window that ends now.
     pub(in super::super) fn check_grants(&mut self) {
         let usage = self.ingress.max_usage(self.queue.now());
         if usage > RETRY_ALLOWANCE + ROUNDING {
--- a/crates/linenthread-simulation/src/system/checker/mod.rs
+++ b/crates/linenthread-simulation/src/system/checker/mod.rs
@@ -1,4 +1,4 @@
-//! Checks of the invariants, each where it can be seen.
+//! Checks of the invariants.
 
 mod catch_up;
 mod configuration;
--- a/crates/linenthread-simulation/src/system/checker/quorum.rs
+++ b/crates/linenthread-simulation/src/system/checker/quorum.rs
@@ -1,5 +1,5 @@
-//! Who is in contact with whom, by what the simulation knows: messages that truly arrived, partitions, pauses and
-//! ends of processes.
+//! Checks invariants on contact between nodes, judged by the messages that actually arrived, and by partitions, pauses
+//! and ends of processes.
 
 use std::time::Duration;
 
@@ -12,17 +12,16 @@
 use super::super::invariant::Invariant;
 use super::super::world::World;
 
-/// Nothing is confirmed by a node that has exchanged no messages with a majority for longer.
+/// Maximum time since the last exchange of messages with a majority for a node that confirms anything.
 pub(in super::super) const QUORUM_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// An ingress node has a session elsewhere so long after its control node was partitioned off.
+/// Maximum time until an ingress node has a session with a usable control node again.
 const INGRESS_FAILOVER_TIME: Duration = Duration::from_millis(6_000);
-/// How often the sessions of ingress nodes are checked.
+/// Interval at which the sessions of ingress nodes are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 impl World {
-    /// [`Invariant::NoResponseWithoutQuorum`]: a response leaves only where, of a majority of the voters by the
-    /// node's own newest value, messages have arrived that were sent within the bound, and messages of the node
-    /// have arrived there.
+    /// Checks [`Invariant::NoResponseWithoutQuorum`]: a node responds only if it has exchanged messages with a majority
+    /// of the voters of its own newest value, in both directions, that were sent within [`QUORUM_TIMEOUT`].
     pub(in super::super) fn check_quorum(&mut self, node: usize, response: &str) {
         let since = self.now().saturating_sub(QUORUM_TIMEOUT);
         let machine = &self.machines[node];
@@ -47,8 +46,8 @@
         }
     }
 
-    /// Whether messages get to and from a majority of the voters, by the newest value of all and by the newest
-    /// that the node itself has: a change of the voters that no node in reach knows of leaves it without quorum.
+    /// Reports whether a node can exchange messages with a majority of the voters, both of the newest value and of the
+    /// newest value that the node has. A change of the voters that no reachable node knows leaves it without a quorum.
     fn can_reach_quorum(&self, node: usize) -> bool {
         let register = |n: usize| self.machines[n].control.as_ref().map(ControlNode::register);
         let (Some(newest), Some(own)) = (self.history.newest_value(), register(node)) else {
@@ -73,12 +72,12 @@
         self.is_running(node) && is_majority(&newest.voters) && is_majority(own.voters())
     }
 
-    /// [`Invariant::IngressFailsOver`]: an ingress node whose control node is partitioned off has a session
-    /// elsewhere, if any can be had.
+    /// Checks [`Invariant::IngressFailsOver`]: an ingress node whose control node is partitioned off opens a session
+    /// with another one in time, if there is a usable one.
     pub(in super::super) fn check_ingress_sessions(&mut self) {
         self.push_in(CHECK_INTERVAL, Event::CheckIngressSessions);
         let now = self.now();
-        // One that shuts down takes no sessions.
+        // A node that shuts down accepts no sessions.
         let takes_sessions: Vec<bool> = self
             .machines
             .iter()
--- a/crates/linenthread-simulation/src/system/checker/replicas.rs
+++ b/crates/linenthread-simulation/src/system/checker/replicas.rs
@@ -1,4 +1,4 @@
-//! A drain that was acknowledged is known to a majority.
+//! Checks that an acknowledged drain is known to a majority of the voters.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use super::super::invariant::Invariant;
 use super::super::world::World;
 
-/// A process that has run for less time may have known of a drain before it was started again.
+/// A process that has run for less than this may have known a drain before it was restarted.
 const RECENT_START: Duration = Duration::from_millis(1_500);
 
 impl World {
-    /// [`Invariant::DrainsAreKnown`].
+    /// Checks [`Invariant::DrainsAreKnown`].
     pub(in super::super) fn check_drain(&mut self, node: usize, replica_id: &str) {
         self.report.coverage.drains += 1;
         let control = self.machines[node].control.as_ref();
@@ -24,7 +24,7 @@
             .iter()
             .filter(|voter| self.knows_drain(voter, replica_id))
             .count();
-        // One that knew and has ended since, even if it is back, counts as knowing.
+        // A voter that may have known the drain and has been restarted since counts as knowing it.
         let restarted = voters
             .iter()
             .filter(|voter| !self.has_run_for_a_while(voter))
--- a/crates/linenthread-simulation/src/system/checker/usage.rs
+++ b/crates/linenthread-simulation/src/system/checker/usage.rs
@@ -1,4 +1,4 @@
-//! Usage reports: what the platform may see, and what it must have seen in time.
+//! Checks usage reports: what the platform may receive, and what it must have received in time.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use super::super::usage::MAX_ERROR;
 use super::super::world::World;
 
-/// So long after a fault the reports that it delayed are made up for.
+/// Time after a fault within which the reports that it delayed have been sent.
 const SETTLE_TIME: Duration = Duration::from_millis(10_000);
 
 impl World {
-    /// [`Invariant::RefusedIsRefused`], [`Invariant::CallsEndWithLease`]: a call is written.
+    /// Checks [`Invariant::RefusedIsRefused`] and [`Invariant::CallsEndWithLease`] when a call is written.
     pub(in super::super) fn check_write(
         &mut self,
         caller: Process,
@@ -34,7 +34,8 @@
         }
     }
 
-    /// The invariants of what the platform sees, before it accepts a call.
+    /// Checks the invariants on accepted calls, before the platform accepts a call: [`Invariant::OneReportPerWindow`],
+    /// [`Invariant::OneSenderPerFence`], [`Invariant::NoReturnWithinLease`] and [`Invariant::ReportsInOrder`].
     pub(in super::super) fn check_accepted_call(&mut self, caller: Process, call: &PlatformCall) {
         let window = WindowNumber::new(call.report.window);
         let platform = &self.usage.platform;
@@ -62,8 +63,8 @@
         }
     }
 
-    /// [`Invariant::UsageInTime`], for windows as long as users have them, and [`Invariant::UsageRight`]: where no fault
-    /// came near.
+    /// Checks [`Invariant::UsageInTime`], for windows of the users' length, and [`Invariant::UsageRight`], for reports
+    /// that became due with no fault since [`SETTLE_TIME`] before their window.
     pub(in super::super) fn check_due_reports(&mut self) {
         while self.usage.due_at(self.usage.next_due) <= self.now() {
             let window = self.usage.next_due;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// At the end of a schedule: how late each report was, and by how much it was off.
+    /// Records the delay and the error of each report, at the end of a schedule.
     pub(in super::super) fn measure_reports(&mut self) {
         let usage = &self.usage;
         let coverage = &mut self.report.coverage.usage;
--- a/crates/linenthread-simulation/src/system/clock.rs
+++ b/crates/linenthread-simulation/src/system/clock.rs
@@ -1,5 +1,7 @@
-//! The steady clock of each machine. Leases and agreement know no time of day, so steps of it reach nothing but
-//! usage reports: `tests/no_wall_clock.rs` checks that. Clocks that show it are in [`super::time_of_day`].
+//! Monotonic clock of each machine.
+//!
+//! Leases and agreement do not use the time of day, so steps of it affect only usage reports;
+//! `tests/no_wall_clock.rs` checks that. [`super::time_of_day`] simulates the clocks that show the time of day.
 
 use std::time::Duration;
 
@@ -8,15 +10,15 @@
 use super::event::START;
 use super::random::Random;
 
-/// Clocks differ by less than so many milliseconds.
+/// Exclusive upper bound of a clock's offset, in milliseconds.
 const MAX_OFFSET_MS: u64 = 1 << 40;
-/// The fastest and the slowest clock, in parts per million apart from simulated time.
+/// Maximum drift of a clock from simulated time in either direction, in parts per million.
 const MAX_DRIFT_PPM: u64 = 200;
 
-/// A steady clock: no two agree, and none runs true.
+/// A monotonic clock with a random offset and drift.
 pub(super) struct MachineClock {
     offset: Duration,
-    /// By how many parts of a million it runs ahead of simulated time.
+    /// Drift relative to simulated time, in parts per million; positive if the clock runs fast.
     drift_ppm: i64,
 }
 
@@ -30,7 +32,7 @@
         }
     }
 
-    /// What it shows at a moment of simulated time.
+    /// Returns the clock's reading at the given simulated time.
     pub(super) fn read(&self, now: Instant) -> Instant {
         let elapsed = whole_millis(now.since(START)).cast_signed();
         let drift = elapsed * self.drift_ppm / 1_000_000;
--- a/crates/linenthread-simulation/src/system/disk.rs
+++ b/crates/linenthread-simulation/src/system/disk.rs
@@ -1,5 +1,5 @@
-//! The disk of a control node: the daemon's own log over a modelled disk, which may be slow, full, cut off in
-//! the midst of a write, or lose what was not synced.
+//! Disk of a control node: the daemon's own log on a simulated disk, which can be slow or full, tear a write, or lose
+//! unsynced data.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,17 +13,18 @@
 
 use super::random::Random;
 
-/// The log is compacted above so many bytes: with the daemon's bound, which is far higher, compaction would not
-/// be covered.
+/// Size of the log above which it is compacted, in bytes. The daemon's bound is far higher, so that compaction would
+/// not be covered.
 pub(super) const COMPACT_ABOVE_BYTES: u64 = 48 << 10;
-/// Records that may wait, as in the daemon; more are dropped, and control hands them over again later.
+/// Maximum number of queued records, as in the daemon; further ones are dropped, and the control node submits them
+/// again later.
 const MAX_WAITING_RECORDS: usize = 256;
-/// What is left of the disk when a crash cuts a write off: fewer bytes than this.
+/// Exclusive upper bound of the free bytes on the disk for a write that a crash cuts off.
 const TORN_WRITE_MAX_BYTES: usize = 400;
-/// Of the syncs of one write, fewer than this have succeeded when a crash cuts it off.
+/// Exclusive upper bound of the successful syncs of a write that a crash cuts off.
 const TORN_WRITE_MAX_SYNCS: usize = 3;
 
-/// A record on its way to the disk, and what waits until it is synced.
+/// A record to be written, and the actions that wait until it is synced.
 struct QueuedRecord {
     record: Record,
     after_sync: Vec<AfterSync>,
@@ -34,22 +35,22 @@
 
 pub(super) struct Disk {
     files: Files,
-    /// While a process runs.
+    /// Open log of the process; `None` while no process runs.
     log: Option<StateLog<Files, OpenFiles>>,
     waiting: VecDeque<QueuedRecord>,
-    /// What the write in progress holds.
+    /// Records of the write in progress.
     writing: Vec<QueuedRecord>,
     is_full: bool,
-    /// What a sync takes.
+    /// Duration of a sync.
     pub(super) sync_duration: Duration,
 }
 
-/// How a write ended.
+/// Outcome of a write.
 pub(super) enum WriteOutcome {
     Synced(Vec<AfterSync>),
     /// The disk is full.
     Rejected,
-    /// No process has the disk open any more.
+    /// The process that had the disk open has ended.
     NotOpen,
 }
 
@@ -65,12 +66,12 @@
         }
     }
 
-    /// Loses all that it holds.
+    /// Erases the contents of the disk, as if it had been replaced by an empty one.
     pub(super) fn erase(&mut self) {
         *self = Disk::new(self.sync_duration);
     }
 
-    /// A process opens it.
+    /// Opens the log for a process and returns the recovered state.
     pub(super) fn open(&mut self) -> Result<DurableState, StateLogError> {
         let files = self.files.clone();
         let open_files: OpenFiles = Box::new(move || Ok(files.clone()));
@@ -83,7 +84,7 @@
         self.is_full
     }
 
-    /// No write succeeds any more, or there is room again.
+    /// Sets whether the disk is full; writes to a full disk fail.
     pub(super) fn set_full(&mut self, is_full: bool) {
         self.is_full = is_full;
         self.files.borrow_mut().capacity = is_full.then_some(0);
@@ -93,12 +94,12 @@
         self.log.as_ref().map_or(0, StateLog::bytes)
     }
 
-    /// Bytes of the durable state after compaction.
+    /// Returns the size of the durable state after compaction, in bytes.
     pub(super) fn state_bytes(&self) -> u64 {
         self.log.as_ref().map_or(0, StateLog::compacted_bytes)
     }
 
-    /// What a process that starts now would find; the disk stays as it is.
+    /// Returns the state that a process would recover if it started now, without changing the disk.
     pub(super) fn durable_state(&self) -> DurableState {
         let copy: Files = Rc::new(RefCell::new(self.files.borrow().clone()));
         copy.borrow_mut().capacity = None;
@@ -108,14 +109,14 @@
             .unwrap_or_default()
     }
 
-    /// Queues a record with what waits on it.
+    /// Queues a record and the actions that wait until it is synced; drops both if the queue is full.
     pub(super) fn enqueue(&mut self, record: Record, after_sync: Vec<AfterSync>) {
         if self.waiting.len() < MAX_WAITING_RECORDS {
             self.waiting.push_back(QueuedRecord { record, after_sync });
         }
     }
 
-    /// Starts a write of all that waits, unless there is one in progress; returns whether it did.
+    /// Starts a write of all queued records unless a write is in progress. Returns whether it started one.
     pub(super) fn start_write(&mut self) -> bool {
         if !self.writing.is_empty() || self.waiting.is_empty() {
             return false;
@@ -124,7 +125,7 @@
         true
     }
 
-    /// Ends the write in progress.
+    /// Completes the write in progress and returns its outcome.
     pub(super) fn complete_write(&mut self) -> WriteOutcome {
         let (records, after_sync): (Vec<Record>, Vec<Vec<AfterSync>>) = self
             .writing
@@ -140,8 +141,8 @@
         }
     }
 
-    /// The process ends: a write in progress is not there, there in part, or there but not synced. Returns
-    /// whether one was cut off.
+    /// Closes the log at the end of a process. A write in progress is lost, written in part, or written but not
+    /// completely synced. Returns whether a write was cut off.
     pub(super) fn close(&mut self, random: &mut Random) -> bool {
         let progress = random.below(3);
         let cut = random.index(TORN_WRITE_MAX_BYTES);
@@ -157,14 +158,14 @@
         } else {
             self.files.borrow_mut().syncs_until_failure = Some(cut % TORN_WRITE_MAX_SYNCS);
         }
-        // It fails, or is not synced, as was just drawn; what is there is seen when the disk is opened again.
+        // The write fails, or is not synced, as drawn above; opening the disk again shows what was kept.
         let _ = log.write(&records);
         let mut files = self.files.borrow_mut();
         (files.capacity, files.syncs_until_failure) = (None, None);
         true
     }
 
-    /// The machine loses power: what was not synced is there or not, as the model draws it.
+    /// Simulates a power loss of the machine: the simulated disk draws which unsynced data survive.
     pub(super) fn lose_power(&mut self, random: &mut Random) {
         self.files.borrow_mut().crash(random.generator());
         self.set_full(self.is_full);
--- a/crates/linenthread-simulation/src/system/event.rs
+++ b/crates/linenthread-simulation/src/system/event.rs
@@ -1,4 +1,4 @@
-//! Simulated time, and the queue of what is to happen.
+//! Simulated time and the event queue.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 use super::platform_calls::{LeaseCheck, WrittenCall};
 
-/// When a schedule starts.
+/// Simulated time at which a schedule starts.
 pub(super) const START: Instant = Instant::from_millis(1_000_000);
 
-/// A control node or an ingress node, by its index among its kind.
+/// Identifies a control node or an ingress node by its index among the nodes of its kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum NodeIndex {
     Control(usize),
@@ -28,7 +28,7 @@
     pub(super) incarnation: Incarnation,
 }
 
-/// What reaches a process from outside; lost if that process has ended.
+/// Input for a process; discarded if that process has ended.
 pub(super) enum Delivery {
     Opened {
         session: SessionId,
@@ -42,15 +42,15 @@
     Closed {
         session: SessionId,
     },
-    /// A connection could not be made.
+    /// A connection could not be established.
     Unreachable {
         address: String,
     },
-    /// A record is synced, and what waited on it may be sent.
+    /// Records are synced, and the actions that waited for them may run.
     Synced {
         after_sync: Vec<AfterSync>,
     },
-    /// A call at the platform has ended.
+    /// A platform call has ended.
     PlatformOutcome {
         call: PlatformCallId,
         fence: Epoch,
@@ -58,13 +58,13 @@
     },
 }
 
-/// What happens at a moment. `usize` is the index of a control node unless the name says otherwise.
+/// An event of the simulation. A `usize` is the index of a control node unless the field's name says otherwise.
 pub(super) enum Event {
     Deliver {
         to: Process,
         delivery: Box<Delivery>,
     },
-    /// The disk is through with a write, in success or failure.
+    /// The disk has completed a write, successfully or not.
     WriteCompleted {
         node: usize,
         incarnation: Incarnation,
@@ -79,7 +79,7 @@
         operator: usize,
     },
     RetryCommittedChange,
-    /// A process that was paused gets requests as the first thing after it resumes.
+    /// A process that was paused receives requests immediately after it resumes.
     RequestsOnResume {
         node: usize,
     },
@@ -90,12 +90,12 @@
     RepairDisk {
         node: usize,
     },
-    /// A disk is lost right after this node acknowledged a change.
+    /// A disk is lost shortly after this node acknowledged a change.
     LossAfterAcknowledgement {
         node: usize,
     },
     SecondLoss,
-    /// A machine is to be shut down for good, its successor runs.
+    /// A machine is shut down permanently after its successor has started.
     Decommission {
         node: usize,
         successor: usize,
@@ -108,7 +108,7 @@
         node: usize,
     },
     RestartOneAfterRecovery,
-    /// A connection to the platform is there.
+    /// The connection for a platform call is established.
     WritePlatformCall {
         caller: Process,
         call: Box<PlatformCall>,
@@ -118,17 +118,18 @@
     CheckUsage,
     InjectUsageFault,
     StepClocksAfterRecovery,
-    /// A machine that has just taken the duty to report usage over is asked to shut down: it hands the duty on at once.
+    /// A machine that has just taken over usage reporting is asked to shut down, so that it has to hand the duty over
+    /// immediately.
     RestartSuccessor {
         node: usize,
     },
-    /// A machine is lost around its call at the platform.
+    /// A machine is lost shortly before or after it writes a platform call.
     LoseCaller {
         node: usize,
     },
 }
 
-/// Simulated time and the events to come; those of one moment happen in the order in which they were added.
+/// Simulated time and the pending events. Events of the same time are handled in the order in which they were added.
 pub(super) struct EventQueue {
     now: Instant,
     events: BTreeMap<(Instant, u64), Event>,
@@ -166,12 +167,12 @@
         self.push_at(at, Event::Deliver { to, delivery });
     }
 
-    /// When the next event happens.
+    /// Returns the time of the next event.
     pub(super) fn next_at(&self) -> Option<Instant> {
         self.events.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the next event; time moves on to it.
+    /// Removes the next event and advances the time to it.
     pub(super) fn pop(&mut self) -> Option<Event> {
         let ((at, _), event) = self.events.pop_first()?;
         self.now = self.now.max(at);
--- a/crates/linenthread-simulation/src/system/execution.rs
+++ b/crates/linenthread-simulation/src/system/execution.rs
@@ -1,4 +1,4 @@
-//! Processes of control nodes: their start and end, what reaches them, and the effects they ask for.
+//! Processes of control nodes: start and end, input, and execution of their effects.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 use super::machine::{CatchUp, NO_PROCESS, ProcessEnd};
 use super::world::World;
 
-/// A process whose disk does not open ends, and is started again after so long.
+/// Delay until a process is started again that could not open its disk because the disk was full.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
-/// A connection to a machine that can't be reached fails after so long.
+/// Time until a connection to an unreachable machine fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// A connection to an address where no machine is fails after so long.
+/// Time until a connection to an address without a machine fails.
 const CONNECTION_REFUSED: Duration = Duration::from_millis(5);
-/// How often replicas send heartbeats, by the settings of control nodes.
+/// Interval of replica heartbeats in the settings of control nodes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// What names of control nodes start with. Names are part of messages, whose bytes the coverage counts: another
-/// length gives other figures than those recorded so far.
+/// Prefix of control nodes' names. Names are part of messages, whose bytes the coverage counts, so a prefix of another
+/// length changes the figures.
 const NAME_PREFIX: &str = "ctl";
-/// Zones of control nodes.
+/// Number of zones of control nodes.
 const ZONES: usize = 3;
 
 // --- start and end ---
@@ -87,7 +87,7 @@
         }
     }
 
-    /// What a starting process finds on its disk; none if it can't start now.
+    /// Opens the disk of a starting process and returns the state on it; `None` if the process can't start now.
     fn open_disk(&mut self, node: usize) -> Option<DurableState> {
         let disk = &mut self.machines[node].disk;
         match disk.open() {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The process ends, and is started again after so long.
+    /// Ends a process, and schedules its restart after `restart_in` if given.
     pub(super) fn end_process(
         &mut self,
         node: usize,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The process ends and its disk is lost; it comes back empty, at the same address.
+    /// Ends a process and erases its disk. The machine restarts with an empty disk, at the same address.
     pub(super) fn lose_disk(&mut self, node: usize, restart_in: Duration) {
         self.end_process(node, ProcessEnd::PowerLost, Some(restart_in));
         self.begin_loss();
@@ -154,7 +154,7 @@
 // --- input ---
 
 impl World {
-    /// Something reaches the running process of a control node.
+    /// Delivers input to the running process of a control node.
     pub(super) fn deliver_to_control(&mut self, node: usize, delivery: Delivery) {
         match delivery {
             Delivery::Opened { session } if self.network.is_open(session) => {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// A message has arrived: both sides have proof of contact.
+    /// Records the arrival of a message, which proves contact to both ends.
     fn record_contact(
         &mut self,
         node: usize,
@@ -224,14 +224,13 @@
         };
         self.machines[node].contacts.on_received(there, sent_at);
         let sender = &mut self.machines[from];
-        // Not what an earlier incarnation had sent.
+        // A message of an earlier incarnation does not count.
         if sender.started_at <= sent_at {
             sender.contacts.on_delivered(here, sent_at);
         }
     }
 
-    /// Runs one step of a control node at the time of its clock, checks what it decided, and carries out what it
-    /// asks for.
+    /// Runs one step of a control node at the time of its clocks, checks the invariants, and executes the effects.
     pub(super) fn run(
         &mut self,
         node: usize,
@@ -299,7 +298,7 @@
             .deliver_at(self.queue.now() + after, process, delivery);
     }
 
-    /// Queues a record; what waits on it is sent once it is synced.
+    /// Queues a record; the actions in `after_sync` run once it is synced.
     fn persist(&mut self, node: usize, record: Record, after_sync: Vec<AfterSync>) {
         self.machines[node].disk.enqueue(record, after_sync);
         self.start_write(node);
@@ -315,7 +314,7 @@
         self.push_in(duration, Event::WriteCompleted { node, incarnation });
     }
 
-    /// The write in progress is on disk, or the disk has rejected it.
+    /// Completes the write in progress, and starts the next one.
     pub(super) fn complete_write(&mut self, node: usize, incarnation: Incarnation) {
         let now = self.now();
         let machine = &mut self.machines[node];
--- a/crates/linenthread-simulation/src/system/fault.rs
+++ b/crates/linenthread-simulation/src/system/fault.rs
@@ -1,8 +1,8 @@
-//! The kinds of faults and incidents that a schedule counts.
+//! Kinds of faults and incidents that are counted for each schedule.
 
 use std::fmt;
 
-/// A fault that was injected, or an incident that followed from one. The summary lists them in this order.
+/// An injected fault, or an incident that resulted from one. The summary lists them in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum FaultKind {
     TornWrite,
--- a/crates/linenthread-simulation/src/system/faults/crashes.rs
+++ b/crates/linenthread-simulation/src/system/faults/crashes.rs
@@ -10,7 +10,7 @@
 use super::super::machine::{AfterShutdown, ProcessEnd};
 use super::super::world::World;
 
-/// The bootstrap addresses of a machine change with one restart in so many.
+/// The bootstrap addresses of a machine change with one restart in this many.
 const BOOTSTRAP_CHANGES: u64 = 3;
 
 impl World {
@@ -54,8 +54,8 @@
         self.push_in(Duration::ZERO, Event::RollingRestart { node: 0 });
     }
 
-    /// From its next start on a machine's settings may name others: some down, partitioned off or gone, one that
-    /// is there.
+    /// May change the bootstrap addresses in a machine's settings, effective from its next start. Some of the new ones
+    /// may be of machines that are down, partitioned off or decommissioned, but one is of a machine in service.
     pub(super) fn draw_bootstrap_change(&mut self, node: usize) {
         if !self.random.one_in(BOOTSTRAP_CHANGES) {
             return;
@@ -73,7 +73,7 @@
             .collect();
     }
 
-    /// The process does not run for a while, at most for little more than `max_ms`.
+    /// Pauses a process for 300 ms plus a random time below `max_ms`.
     pub(super) fn pause(&mut self, node: usize, max_ms: u64, kind: FaultKind) {
         if !self.is_running(node) {
             return;
--- a/crates/linenthread-simulation/src/system/faults/disks.rs
+++ b/crates/linenthread-simulation/src/system/faults/disks.rs
@@ -1,4 +1,4 @@
-//! Disks that are lost, slow or full.
+//! Faults of disks: lost, slow and full disks.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::super::loss_budget::CATCH_UP_TIME;
 use super::super::world::World;
 
-/// What a sync takes on a slow disk: one of these, in milliseconds.
+/// Durations of a sync on a slow disk, in milliseconds; one is drawn.
 const SLOW_SYNCS_MS: [u64; 3] = [120, 900, 4_000];
 
 impl World {
--- a/crates/linenthread-simulation/src/system/faults/mod.rs
+++ b/crates/linenthread-simulation/src/system/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Faults drawn at random, each counted by its kind; the disks that they take stay within the loss budget.
+//! Random faults, counted by kind. Losses of disks stay within the loss budget.
 
 mod crashes;
 mod disks;
@@ -14,14 +14,14 @@
 use super::machine::ProcessEnd;
 use super::world::World;
 
-/// The least time between two faults.
+/// Minimum time between two faults.
 const MIN_GAP: Duration = Duration::from_millis(300);
-/// An ordinary pause ends sooner than this after its shortest duration, in milliseconds.
+/// Exclusive upper bound of the random part of an ordinary pause, in milliseconds.
 const PAUSE_MS: u64 = 7_300;
-/// A pause that outlasts every lease and time-out.
+/// The same for a long pause, which can outlast every lease and time-out.
 const LONG_PAUSE_MS: u64 = 25_000;
 
-/// What may be injected.
+/// A fault that can be injected.
 #[derive(Clone, Copy)]
 enum Fault {
     Crash,
@@ -44,7 +44,7 @@
     IngressRestart,
 }
 
-/// Which faults are drawn, and with which weight.
+/// Faults and their weights in an ordinary schedule.
 const FAULTS: [(Fault, u64); 18] = [
     (Fault::Crash, 4),
     (Fault::DiskLost, 4),
@@ -66,7 +66,7 @@
     (Fault::IngressRestart, 2),
 ];
 
-/// In a schedule of replacements: what leaves room for them in the loss budget.
+/// Faults and their weights in a schedule of replacements; they leave room for replacements in the loss budget.
 const REPLACEMENT_FAULTS: [(Fault, u64); 8] = [
     (Fault::DiskLost, 4),
     (Fault::UnplannedReplacement, 4),
@@ -96,7 +96,7 @@
         Fault::Crash
     }
 
-    /// Injects a fault at any machine, and schedules the next one.
+    /// Injects a fault at a random machine, and schedules the next fault.
     pub(super) fn inject_fault(&mut self) {
         if self.is_healed() {
             return;
--- a/crates/linenthread-simulation/src/system/faults/partitions.rs
+++ b/crates/linenthread-simulation/src/system/faults/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions between nodes, of both directions or one.
+//! Partitions between nodes, in one or both directions.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use super::super::ingress_node::INGRESS_NODES;
 use super::super::world::World;
 
-/// The shortest partition.
+/// Minimum duration of a partition.
 const MIN_DURATION: Duration = Duration::from_millis(300);
-/// A split in halves ends sooner than this after its shortest duration, in milliseconds.
+/// Exclusive upper bound of the random part of a split's duration, in milliseconds.
 const SPLIT_MS: u64 = 6_000;
-/// The shortest long partition.
+/// Minimum duration of a long partition.
 const LONG_MIN_DURATION: Duration = Duration::from_millis(20_000);
 
-/// Which directions a partition cuts.
+/// Directions in which a partition drops messages.
 #[derive(Clone, Copy)]
 enum Directions {
     Both,
@@ -46,7 +46,7 @@
         self.partition_from_others(node, until, directions);
     }
 
-    /// The control nodes are split in two halves for some seconds, whatever the loss budget says; ingress nodes reach
+    /// Splits the control nodes into two halves for some seconds, regardless of the loss budget. Ingress nodes reach
     /// both. The smaller half misses what the other one decides meanwhile.
     pub(super) fn split_in_halves(&mut self) {
         self.count_fault(FaultKind::SplitInHalves);
@@ -89,7 +89,7 @@
         for other in (0..self.machines.len()).filter(|other| *other != node) {
             self.partition_pair(node, NodeIndex::Control(other), until, directions);
         }
-        // Ingress nodes may be on the other side, too.
+        // The partition may include the ingress nodes.
         if self.random.one_in(4) {
             for ingress in 0..INGRESS_NODES {
                 self.partition_pair(node, NodeIndex::Ingress(ingress), until, directions);
--- a/crates/linenthread-simulation/src/system/faults/platform.rs
+++ b/crates/linenthread-simulation/src/system/faults/platform.rs
@@ -1,5 +1,5 @@
-//! Faults that concern usage reports: trouble of the platform and of links to it, steps of clocks, and the loss of the
-//! machine that called the platform last, and a higher fence that the platform has seen from elsewhere.
+//! Faults that affect usage reports: faults of the platform and of links to it, steps of wall clocks, the loss of the
+//! machine that called the platform last, and a higher fence that the platform has received from elsewhere.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 use super::super::world::World;
 use super::{LONG_PAUSE_MS, PAUSE_MS};
 
-/// The least time between two of these faults.
+/// Minimum time between two of these faults.
 const MIN_GAP: Duration = Duration::from_millis(1_000);
-/// The shortest trouble of the platform, and the shortest step of a clock.
+/// Minimum duration of a platform fault and of a clock step.
 const MIN_DURATION: Duration = Duration::from_millis(500);
-/// They end sooner than this after that, in milliseconds.
+/// Exclusive upper bound of the random part of these durations, in milliseconds.
 const DURATION_MS: u64 = 12_000;
-/// How the platform may be down.
+/// Ways in which the platform can be down.
 const DOWN: [Behaviour; 3] = [Behaviour::Silent, Behaviour::Busy, Behaviour::Reset];
 
-/// What may be injected.
+/// A fault that can be injected.
 #[derive(Clone, Copy)]
 enum Fault {
     LastCallerLost,
@@ -32,7 +32,7 @@
     FenceRaised,
 }
 
-/// Each is drawn as often as it stands here.
+/// Faults to draw from; repeated ones are drawn more often.
 const FAULTS: [Fault; 9] = [
     Fault::LastCallerLost,
     Fault::LastCallerLost,
@@ -46,7 +46,7 @@
 ];
 
 impl World {
-    /// Injects a fault that concerns usage reports, beside the other faults, and schedules the next one.
+    /// Injects a fault that affects usage reports, independently of the other faults, and schedules the next one.
     pub(in super::super) fn inject_usage_fault(&mut self) {
         if self.is_healed() {
             return;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// These faults reach nothing but usage reports.
+    /// Counts a fault that affects only usage reports.
     fn count_usage_fault(&mut self, kind: FaultKind) {
         self.disturb_usage();
         self.usage.faults += 1;
@@ -86,7 +86,8 @@
         self.usage.platform.set_behaviour(behaviour, until);
     }
 
-    /// The machine that called last can't reach the platform; any other one if none has called yet.
+    /// Cuts the link from the last caller's machine to the platform, or that of a random machine if there was no call
+    /// yet.
     fn cut_platform(&mut self, until: Instant) {
         self.count_usage_fault(FaultKind::PlatformCut);
         let any = self.usage.random.index(self.machines.len());
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The clocks of fewer than half of the machines step by seconds, and come back.
+    /// Steps the wall clocks of fewer than half of the machines by some seconds for a while.
     pub(in super::super) fn step_clocks(&mut self) {
         let now = self.now();
         let until = now + MIN_DURATION + self.usage.random.millis_below(DURATION_MS);
@@ -112,7 +113,8 @@
         if has_stepped || self.max_lost == 0 {
             return;
         }
-        // No disturbance: windows must not follow the clocks of less than half.
+        // Not counted as a fault for usage reports: windows must not follow the clocks of fewer than half of the
+        // machines.
         self.report
             .count_fault(self.queue.now(), FaultKind::ClockStep);
         let mut nodes: Vec<usize> = (0..self.machines.len())
@@ -127,21 +129,21 @@
         }
     }
 
-    /// The platform has seen a higher fence than any that it was sent: the holder of the duty is refused.
+    /// Makes the platform refuse the process that reports usage: it has received a higher fence from elsewhere.
     fn raise_fence(&mut self) {
         self.count_usage_fault(FaultKind::FenceRaised);
         let highest = self.usage.platform.highest_fence();
         self.usage.platform.raise_fence(highest);
     }
 
-    /// A machine that has taken the duty over is restarted as planned.
+    /// Begins a planned restart of a machine that has taken over usage reporting.
     pub(in super::super) fn restart_successor(&mut self, node: usize) {
         if !self.is_healed() && !self.machines[node].decommissioned {
             self.restart_planned(node);
         }
     }
 
-    /// A machine that calls the platform crashes, is paused or partitioned off.
+    /// Crashes, pauses or partitions off a machine that calls the platform.
     pub(in super::super) fn lose_caller(&mut self, node: usize) {
         if self.is_healed() || self.machines[node].decommissioned {
             return;
--- a/crates/linenthread-simulation/src/system/faults/replacements.rs
+++ b/crates/linenthread-simulation/src/system/faults/replacements.rs
@@ -1,4 +1,4 @@
-//! Machines that are replaced by others, at other addresses.
+//! Replacements of machines by new ones at other addresses.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::super::world::{BOOTSTRAP_NODES, World, replacement_address};
 
 impl World {
-    /// A machine is gone; another comes in its place.
+    /// Removes a machine without a shutdown; its successor starts later.
     pub(super) fn replace_unplanned(&mut self, node: usize) {
         if !self.is_up(node) || !self.may_lose_one() {
             return;
@@ -27,7 +27,7 @@
         self.draw_second_loss(self.now() + start_in + CATCH_UP_TIME);
     }
 
-    /// The new machine starts first, then the old one is shut down.
+    /// Starts the successor first, and then shuts the old machine down.
     pub(super) fn replace_planned(&mut self, node: usize) {
         let is_shutting_down = self.machines[node].shutdown.is_some();
         if !self.is_running(node) || is_shutting_down || !self.may_lose_one() {
@@ -45,7 +45,7 @@
         self.draw_second_loss(shutdown);
     }
 
-    /// A new machine, whose settings name some of those that are there.
+    /// Adds a machine whose bootstrap addresses are of machines in service.
     fn add_replacement(&mut self) -> usize {
         let address = replacement_address(self.machines.len());
         let present: Vec<String> = self
--- a/crates/linenthread-simulation/src/system/faults/second_losses.rs
+++ b/crates/linenthread-simulation/src/system/faults/second_losses.rs
@@ -1,4 +1,4 @@
-//! Losses right after another one, or right after an acknowledgement: when few disks hold what was acknowledged.
+//! Losses right after another loss or an acknowledgement, when few disks hold what was acknowledged.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use super::super::machine::ProcessEnd;
 use super::super::world::World;
 
-/// A second loss comes within so many milliseconds.
+/// Exclusive upper bound of the delay of a second loss, in milliseconds.
 const SECOND_LOSS_WITHIN_MS: u64 = 3_000;
 
 impl World {
-    /// Every other time a second loss follows soon after `from`.
+    /// Schedules a second loss soon after `from`, with probability 1/2.
     pub(super) fn draw_second_loss(&mut self, from: Instant) {
         if self.random.one_in(2) {
             let at = from + self.random.millis_below(SECOND_LOSS_WITHIN_MS);
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Right after a change of the voters: a disk within the budget, a power loss of all others, or a crash.
+    /// Injects a loss right after a change of the voters: of a disk within the budget, possibly with a power loss of
+    /// all others, or a crash.
     pub(in super::super) fn inject_second_loss(&mut self) {
         let node = self.any_machine();
         if self.is_healed() || !self.is_up(node) {
@@ -41,9 +42,9 @@
         }
     }
 
-    /// At the end of the faults, soon after a change was sent: the disks that have lasted longest are lost, as many as the
-    /// budget has left, and at the same moment all other machines lose power, ingress nodes too. Returns whether it came
-    /// about: that takes voters whose majority has the newest set on disk.
+    /// Injects the closing loss, soon after a change was sent: as many disks as the budget still permits are lost,
+    /// those first that have lasted longest, and at the same time all other machines lose power and all ingress nodes
+    /// restart. Returns false without a loss if [`World::all_vote`] does not hold.
     pub(in super::super) fn inject_closing_loss(&mut self) -> bool {
         if !self.all_vote() {
             return false;
@@ -66,7 +67,7 @@
         true
     }
 
-    /// Right after an acknowledgement a disk is lost, and another process may end as well, or all lose power.
+    /// Loses a disk right after an acknowledgement; another machine may lose power as well, or all of them.
     pub(in super::super) fn inject_loss_after_acknowledgement(&mut self, node: usize) {
         let may_lose = self.down_or_erased() < self.max_lost;
         if self.is_healed() || !self.is_up(node) || !may_lose || !self.all_vote() {
--- a/crates/linenthread-simulation/src/system/history.rs
+++ b/crates/linenthread-simulation/src/system/history.rs
@@ -1,42 +1,42 @@
-//! What was sent, decided and acknowledged so far: what the checker judges by.
+//! Record of what was sent, decided and acknowledged so far, as the reference for the checker.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use linenthread_consensus::{Epoch, Incarnation, Order, Revision, ValueNumber};
 use linenthread_messages::Value;
 
-/// The configuration that became committed, by the decided values.
+/// Result of adding a decided value to the history.
 pub(super) enum Commit {
-    /// The value carries no new revision.
+    /// The value has no new revision.
     None,
-    /// A revision for the first time; the change that was sent for it, if there is one.
+    /// The revision is committed for the first time; holds the change that was sent for it, if any.
     New(Option<Order>),
-    /// Another document was committed under this revision before.
+    /// Another document was already committed under this revision.
     Conflict,
 }
 
 #[derive(Default)]
 pub(super) struct History {
-    /// Decided values by their numbers.
+    /// Decided values by number.
     pub(super) values: BTreeMap<ValueNumber, Value>,
-    /// The committed document of each revision.
+    /// Committed document of each revision.
     committed: BTreeMap<Revision, Vec<u8>>,
-    /// The committed changes as they were sent, oldest first.
+    /// Committed changes as they were sent, oldest first.
     pub(super) changes: Vec<Order>,
-    /// All changes that were ever sent.
+    /// All changes that operators have sent.
     pub(super) sent: Vec<Order>,
     /// Revision and document of each change that was rejected.
     rejected: BTreeSet<(Revision, Vec<u8>)>,
     /// Acknowledged changes by revision.
     pub(super) acknowledged: BTreeMap<Revision, Order>,
-    /// Which revision was acknowledged on top of which.
+    /// Acknowledged revision by the base revision that it replaced.
     pub(super) acknowledged_on: BTreeMap<Revision, Revision>,
-    /// Which incarnation held the lease under which epoch.
+    /// Incarnation that held the lease, by epoch.
     pub(super) lease_holders: BTreeMap<Epoch, Incarnation>,
 }
 
 impl History {
-    /// Notes a decided value.
+    /// Adds a decided value and reports whether it commits a new revision.
     pub(super) fn add_value(&mut self, value: Value) -> Commit {
         let commit = self.commit(&value);
         self.values.insert(ValueNumber::of(&value), value);
@@ -79,7 +79,7 @@
             .is_some_and(|document| *document == change.document)
     }
 
-    /// Notes that a change was rejected as a conflict.
+    /// Records that a change was rejected as a conflict.
     pub(super) fn add_rejected(&mut self, change: Order) {
         self.rejected.insert((change.revision, change.document));
     }
--- a/crates/linenthread-simulation/src/system/ingress.rs
+++ b/crates/linenthread-simulation/src/system/ingress.rs
@@ -1,4 +1,4 @@
-//! What ingress nodes do: they hold sessions, and send heartbeats that ask for grants.
+//! Steps of ingress nodes: they open and close sessions, and send heartbeats that request grants.
 
 use std::time::Duration;
 
@@ -8,18 +8,19 @@
 use super::invariant::Invariant;
 use super::world::World;
 
-/// What names of ingress nodes start with; its length counts, as that of control nodes' names.
+/// Prefix of ingress nodes' names. Its length affects recorded figures, like that of control nodes' names (see
+/// `execution`).
 const NAME_PREFIX: &str = "ingrs";
-/// How often an ingress node sends a heartbeat, or tries to connect.
+/// Interval at which an ingress node sends a heartbeat or tries to connect.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The name of an ingress node.
+/// Returns the name of an ingress node.
 pub(super) fn ingress_name(index: usize) -> String {
     format!("{NAME_PREFIX}-{index}")
 }
 
 impl World {
-    /// One step of an ingress node: it leaves a control node that is of no use, sends a heartbeat, or connects.
+    /// Runs one step of an ingress node: it closes an unusable session, and sends a heartbeat or connects.
     pub(super) fn step_ingress(&mut self, index: usize) {
         self.push_in(
             HEARTBEAT_INTERVAL,
@@ -72,7 +73,7 @@
         self.send_all_usage(index);
     }
 
-    /// The control node whose last failure is the longest ago; any of several.
+    /// Draws one of the control nodes whose last failure is the longest ago.
     fn draw_control_node(&mut self, index: usize) -> usize {
         let ingress = &self.ingress.nodes[index];
         let candidates: Vec<usize> = (0..self.machines.len())
@@ -90,7 +91,7 @@
         first[self.random.index(first.len())]
     }
 
-    /// Something reaches the running process of an ingress node.
+    /// Delivers input to the current process of an ingress node.
     pub(super) fn deliver_to_ingress(&mut self, index: usize, delivery: Delivery) {
         let now = self.now();
         let ingress = &mut self.ingress.nodes[index];
--- a/crates/linenthread-simulation/src/system/ingress_node.rs
+++ b/crates/linenthread-simulation/src/system/ingress_node.rs
@@ -1,5 +1,5 @@
-//! An ingress node: it holds a session with one control node, follows its change log and asks for shares of the
-//! retry allowance.
+//! Ingress node: it has a session with one control node, follows its change log, and requests shares of the retry
+//! allowance.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 
 use super::event::{NodeIndex, Process};
 
-/// Retries that all ingress nodes together may use in a window.
+/// Number of retries that all ingress nodes together may use in a window.
 pub(super) const RETRY_ALLOWANCE: f64 = 50.0;
-/// The window of [`RETRY_ALLOWANCE`].
+/// Length of the window of [`RETRY_ALLOWANCE`].
 pub(super) const RETRY_WINDOW: Duration = Duration::from_millis(4_000);
-/// How many ingress nodes there are.
+/// Number of ingress nodes.
 pub(super) const INGRESS_NODES: usize = 4;
-/// An ingress node that got no message for longer ends its session.
+/// Time without a message after which an ingress node closes its session.
 const SESSION_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// The same for one that got none at all on its session.
+/// The same for a session on which no message has arrived yet.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// After so many heartbeats in a row of a control node without a quorum its session is ended.
+/// Number of consecutive heartbeats without a quorum after which an ingress node closes its session.
 const MAX_HEARTBEATS_WITHOUT_QUORUM: u32 = 2;
 
 /// A share of the allowance that may be used until its lease ends.
@@ -33,7 +33,7 @@
     pub(super) until: Instant,
 }
 
-/// The most that may have been used under grants of one incarnation: each replaces the one before.
+/// Returns the maximum that one incarnation may have used under its grants; each grant replaces the previous one.
 fn max_share(grants: &[Grant]) -> f64 {
     grants.iter().map(|grant| grant.share).fold(0.0, f64::max)
 }
@@ -42,7 +42,7 @@
     grants.retain(|grant| grant.until + RETRY_WINDOW > now);
 }
 
-/// An ingress node was sent an older configuration than it has.
+/// Error: an ingress node received an older configuration than it has.
 pub(super) struct OlderRevision {
     pub(super) revision: Revision,
 }
@@ -50,31 +50,31 @@
 pub(super) struct IngressNode {
     pub(super) incarnation: Incarnation,
     pub(super) session: Option<SessionId>,
-    /// The control node of its session, or of the last one.
+    /// Control node of the current session, or of the last one.
     pub(super) control: usize,
     change_log_id: u64,
     change_log_offset: ChangeLogOffset,
     last_quota_request: QuotaRequestNumber,
     quota_requested_at: BTreeMap<QuotaRequestNumber, Instant>,
-    /// Grants of which some may have been used within the window.
+    /// Grants that may have been used within the window.
     grants: Vec<Grant>,
-    /// The newest epoch of the lease that it had a grant under.
+    /// Newest lease epoch under which it received a grant.
     epoch: Epoch,
     pub(super) revision: Revision,
-    /// Its configuration was confirmed as the newest one.
+    /// Whether its configuration was confirmed as the newest one.
     pub(super) confirmed: bool,
     last_received_at: Instant,
-    /// Something was received on its session.
+    /// Whether a message was received on the current session.
     has_received: bool,
-    /// Heartbeats in a row of a control node without a quorum.
+    /// Number of consecutive heartbeats of a control node without a quorum.
     heartbeats_without_quorum: u32,
-    /// When it last failed to reach each control node: the longest ago comes first.
+    /// Time of the last failure with each control node; the one with the oldest is tried first.
     failed_at: BTreeMap<usize, Instant>,
-    /// Without a session with a node in contact since then, though there is such a node.
+    /// Time since which it has had no session with a usable control node although there is one.
     pub(super) without_session_since: Option<Instant>,
-    /// Counts the requests that replicas began, as the data plane does.
+    /// Counter of the requests that replicas began, as in the data plane.
     pub(super) counter: UsageCounter,
-    /// The requests that began before then are counted.
+    /// Time up to which requests are counted.
     pub(super) counted_until: Instant,
 }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The process of this node, which is the one of this index.
+    /// Returns the current process; `index` is the index of this node.
     pub(super) fn process(&self, index: usize) -> Process {
         Process {
             node: NodeIndex::Ingress(index),
@@ -116,7 +116,7 @@
 
     // --- sessions ---
 
-    /// A session with this control node begins.
+    /// Records that a session with a control node was opened.
     pub(super) fn on_opened(&mut self, session: SessionId, control: usize, now: Instant) {
         self.session = Some(session);
         self.control = control;
@@ -125,13 +125,13 @@
         self.heartbeats_without_quorum = 0;
     }
 
-    /// Its session is over, whichever side ended it.
+    /// Records that the session was closed by either end.
     pub(super) fn on_closed(&mut self, now: Instant) {
         self.on_failed(self.control, now);
         self.session = None;
     }
 
-    /// A control node could not be reached.
+    /// Records a failure to reach a control node, or the end of a session with it.
     pub(super) fn on_failed(&mut self, control: usize, now: Instant) {
         self.failed_at.insert(control, now);
     }
@@ -140,7 +140,7 @@
         self.failed_at.get(&control).copied().unwrap_or_default()
     }
 
-    /// Whether its session should end: the control node is silent, or has no quorum.
+    /// Reports whether the session should be closed, because the control node is silent or has no quorum.
     pub(super) fn should_leave(&self, now: Instant) -> bool {
         let timeout = if self.has_received {
             SESSION_TIMEOUT
@@ -166,14 +166,14 @@
         }
     }
 
-    /// The next heartbeat, which asks for a share of the allowance.
+    /// Builds the next heartbeat, which requests a share of the allowance.
     pub(super) fn heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.last_quota_request = self.last_quota_request.next();
         self.quota_requested_at.insert(self.last_quota_request, now);
         Heartbeat::of_ingress_node(self.last_quota_request.get(), self.revision.get())
     }
 
-    /// Works on a message of its control node.
+    /// Handles a message of the control node.
     pub(super) fn on_message(
         &mut self,
         message: PeerMessage,
@@ -241,10 +241,10 @@
     }
 }
 
-/// All ingress nodes, and what earlier incarnations of them may have used.
+/// All ingress nodes, and the grants of their earlier incarnations.
 pub(super) struct IngressNodes {
     pub(super) nodes: Vec<IngressNode>,
-    /// Grants of each incarnation that has ended.
+    /// Grants of incarnations that have ended.
     retired: Vec<Vec<Grant>>,
 }
 
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Replaces a node by a new incarnation of it; returns the session that the old one had.
+    /// Replaces a node by a new incarnation, and returns the session of the old one.
     pub(super) fn restart(
         &mut self,
         index: usize,
@@ -272,7 +272,7 @@
         old.session
     }
 
-    /// What may have been used within the window that ends now, by all incarnations together.
+    /// Returns the maximum that all incarnations together may have used within the window that ends now.
     pub(super) fn max_usage(&mut self, now: Instant) -> f64 {
         let mut sum = 0.0;
         for node in &mut self.nodes {
--- a/crates/linenthread-simulation/src/system/invariant.rs
+++ b/crates/linenthread-simulation/src/system/invariant.rs
@@ -1,60 +1,62 @@
-//! The invariants that hold in every schedule.
+//! Invariants that must hold in every schedule.
 
 use std::fmt;
 
-/// An invariant. It is printed under its name in `docs/control-safety.md`.
+/// An invariant, printed under its name in `docs/control-safety.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Invariant {
-    /// No two values are decided under one number.
+    /// No two different values are decided under one number.
     OneValuePerNumber,
     /// No two changes are acknowledged on top of the same revision.
     OneChangePerBase,
-    /// Of two changes under one revision one is committed, the other is never acknowledged.
+    /// Of two changes under one revision at most one is committed, and the other is never acknowledged.
     OneChangePerRevision,
-    /// Each acknowledged configuration is in the chain of decided ones.
+    /// Each acknowledged configuration is in the chain of decided configurations.
     AcknowledgedLasts,
-    /// A committed change is acknowledged again, or its retry gets no clear response.
+    /// A retry of a committed change is acknowledged or gets no clear response.
     CommittedIsNeverRejected,
     ReadsAreNewest,
-    /// What a node has decided, and what an ingress node applies, never gets older.
+    /// Neither the decided value of a process nor the configuration of an ingress node moves back to an older one.
     MonotonicState,
-    /// A majority of the voters knows of an acknowledged drain.
+    /// A majority of the voters knows each acknowledged drain.
     DrainsAreKnown,
-    /// At no moment two nodes hold the lease, and no epoch belongs to two incarnations.
+    /// At most one node holds the lease at any time, and no two incarnations hold it under the same epoch.
     OneLeaseHolderPerEpoch,
-    /// What ingress nodes may use together stays within the retry allowance.
+    /// The retries that all ingress nodes together may use stay within the retry allowance.
     GrantsWithinAllowance,
-    /// A node without contact to a majority confirms nothing.
+    /// A node without contact to a majority of the voters confirms nothing.
     NoResponseWithoutQuorum,
-    /// An ingress node leaves a control node that is partitioned off.
+    /// An ingress node moves its session away from a control node that is partitioned off.
     IngressFailsOver,
-    /// A started node has the newest value in bounded time, messages and bytes.
+    /// A started node gets the newest value within bounded time, messages and bytes.
     CatchesUp,
-    /// The durable state does not grow with the number of changes beyond its bound.
+    /// The durable state and the log stay within their bounds, which grow with the number of changes.
     BoundedState,
-    /// Each disk opens again.
+    /// Each disk can be opened again after a restart.
     AcknowledgedIsSynced,
-    /// After the loss of a disk or machine, and nothing else, all nodes vote again within a time that is the sum of named
-    /// waits.
+    /// After the loss of a disk or machine without any other fault, all machines but at most one standby vote again
+    /// within the sum of the waits in `recovery_time`.
     WholeAgain,
-    /// After the faults a change is acknowledged, read back, and in force at every ingress node.
+    /// After the faults, changes are acknowledged, all machines but at most one standby vote, and every ingress node
+    /// has a recent configuration that is confirmed.
     Recovers,
-    /// The platform accepts one body for each window.
+    /// The platform accepts only one report body for each window.
     OneReportPerWindow,
     /// No two processes call the platform with one fence.
     OneSenderPerFence,
-    /// The platform accepts no calls of one node, of another and of the first one again within the lease time.
+    /// Within the lease time the platform never accepts calls of one node, then of another, then of the first one
+    /// again.
     NoReturnWithinLease,
-    /// A process that knows that its fence is refused does not use it again.
+    /// A process does not reuse a fence after it has learned that the platform refused it.
     RefusedIsRefused,
-    /// No call is written under a lease after another one may have begun, but by a process that was paused between its
-    /// check and the write.
+    /// No call is written under a lease after a lease of a higher epoch is held, except by a process that was paused
+    /// between its check of the lease and the write.
     CallsEndWithLease,
-    /// The platform gets the reports of all windows, from the first one on, in their order.
+    /// The platform accepts the reports of consecutive windows in order, without gaps after the first one.
     ReportsInOrder,
-    /// Without faults each report is at the platform when it is due.
+    /// Without faults each report reaches the platform by its due time.
     UsageInTime,
-    /// Without faults each report is right, up to the error that users permit.
+    /// Without faults each report is correct within the error that users permit.
     UsageRight,
 }
 
--- a/crates/linenthread-simulation/src/system/loss_budget.rs
+++ b/crates/linenthread-simulation/src/system/loss_budget.rs
@@ -1,19 +1,21 @@
-//! The loss budget: how many machines may be lost at once, all in one place.
+//! Loss budget: the number of machines that may be lost at once.
 //!
-//! - `(core - 1) / 2` machines may be lost at once, of those whose disks vote: so many losses leave a majority.
-//!   Until the whole core votes for the first time, with three voters at the very start, fewer may be lost: as
-//!   many as those voters bear.
-//! - A machine is lost while it is down, paused, slow, partitioned off or its disk is full, and for
-//!   [`CATCH_UP_TIME`] after it is back: what it had missed is on its disk by then.
-//! - One whose disk is lost, and one that is decommissioned, is no loss any more once its successor has had
-//!   [`CATCH_UP_TIME`].
-//! - One that is decommissioned by the deadline of its shutdown, before control permits it, may hold what no
-//!   other has: it is a loss like any other, comes within the budget only, and counts for [`CATCH_UP_TIME`] from
-//!   then on.
-//! - Disks are lost within the budget only. Crashes and power losses that leave the disk, partitions, pauses and
-//!   full disks may take any number of machines: they may delay the system, but nothing may be lost or violated.
-//! - Right after an acknowledgement slow or partitioned machines are no losses ([`World::all_vote`] says when):
-//!   what was acknowledged is on a majority of the disks, whichever node has not yet been notified of it.
+//! - Up to `(core - 1) / 2` machines whose disks vote may be lost at once, which leaves a majority. Until the whole
+//!   core votes for the first time, starting with three voters, the limit is lower: the number of losses that those
+//!   voters tolerate.
+//! - A machine counts as lost while it is down, paused, slow, partitioned off or has a full disk, and for
+//!   [`CATCH_UP_TIME`] after that: by then it has stored what it had missed.
+//! - A machine whose disk is lost, or which is decommissioned, counts as lost until [`CATCH_UP_TIME`] after the start
+//!   of its successor.
+//! - A machine that is decommissioned by the deadline of its shutdown, before its control node permits it, may hold
+//!   data that no other machine has. It counts as lost for [`CATCH_UP_TIME`] from then on, and is removed only within
+//!   the budget.
+//! - Disks are lost only within the budget. Crashes and power losses that leave the disk, partitions, pauses and full
+//!   disks may affect any number of machines: they may delay the system, but no data may be lost and no invariant
+//!   violated.
+//! - Right after an acknowledgement slow or partitioned machines do not count as lost, under the condition of
+//!   [`World::all_vote`]: what was acknowledged is on a majority of the disks, even if some nodes have not been
+//!   notified.
 
 use std::time::Duration;
 
@@ -24,17 +26,17 @@
 use super::machine::Machine;
 use super::world::World;
 
-/// How long a machine that is back still counts as lost.
+/// Time for which a machine still counts as lost after it is back.
 pub(super) const CATCH_UP_TIME: Duration = Duration::from_millis(4_000);
 
 impl World {
-    /// Counts a machine as lost until [`CATCH_UP_TIME`] after it is `back`.
+    /// Counts a machine as lost until [`CATCH_UP_TIME`] after `back`, the time at which it is back.
     pub(super) fn count_lost(&mut self, node: usize, back: Instant) {
         let machine = &mut self.machines[node];
         machine.lost_until = machine.lost_until.max(back + CATCH_UP_TIME);
     }
 
-    /// How many machines are lost now, or came back just now.
+    /// Returns the number of machines that count as lost now.
     pub(super) fn lost(&self) -> usize {
         let now = self.now();
         let is_down = |machine: &Machine| !machine.decommissioned && !machine.is_running(now);
@@ -44,7 +46,7 @@
             .count()
     }
 
-    /// Whether one more disk may be lost.
+    /// Reports whether the budget permits the loss of one more disk.
     pub(super) fn may_lose_one(&self) -> bool {
         let max_voters = self
             .history
@@ -57,7 +59,7 @@
         self.lost() < self.max_lost.min(tolerated)
     }
 
-    /// How many machines are down or without the disk that they had.
+    /// Returns the number of machines that are down or have not recovered from the loss of their disk.
     pub(super) fn down_or_erased(&self) -> usize {
         let now = self.now();
         self.machines
@@ -67,8 +69,8 @@
             .count()
     }
 
-    /// Whether each machine that is there votes, by its disk's id, or is the one standby, and a majority of the
-    /// voters has that on disk: the budget holds from then on, however slow the others are.
+    /// Reports whether each machine in service votes, by the id of its disk, or is the only standby, and a majority of
+    /// the voters has stored that set of voters. The budget then holds however slow the other machines are.
     pub(super) fn all_vote(&self) -> bool {
         let Some(newest) = self.history.newest_value() else {
             return false;
@@ -96,8 +98,9 @@
         disks.len() == voters && disks.iter().filter(knows_voters).count() * 2 > voters
     }
 
-    /// Whether so many voters are all of so many machines, or all but a standby: one machine beside an odd number of voters
-    /// that bears the budget, which takes the next free place.
+    /// Reports whether the voters are all of the machines, or all but one standby, which takes the next place that
+    /// becomes free. A standby is possible only with an odd number of voters that tolerates as many losses as the
+    /// budget permits.
     pub(super) fn all_vote_but_one_standby(&self, voters: usize, machines: usize) -> bool {
         let bears_budget = !voters.is_multiple_of(2) && voters > 2 * self.max_lost;
         voters == machines || voters + 1 == machines && bears_budget
--- a/crates/linenthread-simulation/src/system/machine.rs
+++ b/crates/linenthread-simulation/src/system/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of a control node: its process, disk and clock.
+//! Machine of a control node, with its process, disk and clocks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,39 +14,39 @@
 use super::event::{NodeIndex, Process};
 use super::time_of_day::TimeOfDay;
 
-/// Stands for the incarnation of a process that does not run; none is drawn that has this number.
+/// Incarnation of a machine without a process; drawn incarnations never have this number.
 pub(super) const NO_PROCESS: Incarnation = Incarnation::new(0);
 
 /// How a process ends.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ProcessEnd {
-    /// The machine runs on: what was written is there.
+    /// Only the process ends: written data survive even if they are not synced.
     Killed,
     PowerLost,
 }
 
-/// What follows a planned shutdown.
+/// Action after a planned shutdown.
 #[derive(Clone, Copy)]
 pub(super) enum AfterShutdown {
     Restart {
         delay: Duration,
     },
-    /// The machine and its disk are gone for good; this one takes its place.
+    /// The machine and its disk are removed permanently; `successor` replaces it.
     Decommission {
         successor: usize,
     },
 }
 
-/// A process that was asked to shut down.
+/// A shutdown in progress.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
     pub(super) deadline: Instant,
     pub(super) then: AfterShutdown,
 }
 
-/// What it takes a process that was started to have the newest value.
+/// Cost of catching up with the newest value after the start of a process.
 pub(super) struct CatchUp {
-    /// The number of the newest value when it was started.
+    /// Number of the newest value at the start of the process.
     pub(super) target: ValueNumber,
     pub(super) started_at: Instant,
     pub(super) messages: usize,
@@ -72,12 +72,12 @@
     }
 }
 
-/// When messages were exchanged with other nodes, by their ids.
+/// Times of messages exchanged with other nodes, by the other node's id.
 #[derive(Default)]
 pub(super) struct Contacts {
-    /// When the newest message that arrived here was sent.
+    /// Send time of the newest message that arrived from the other node.
     received: BTreeMap<NodeId, Instant>,
-    /// When the newest message of ours that arrived there was sent.
+    /// Send time of the newest message that arrived at the other node.
     delivered: BTreeMap<NodeId, Instant>,
 }
 
@@ -92,7 +92,7 @@
         *newest = sent_at.max(*newest);
     }
 
-    /// When the older of the newest messages of both directions was sent.
+    /// Returns the send time of the newest message in each direction, whichever is earlier.
     pub(super) fn last_exchange(&self, with: NodeId) -> Instant {
         let time =
             |times: &BTreeMap<NodeId, Instant>| times.get(&with).copied().unwrap_or_default();
@@ -102,32 +102,32 @@
 
 pub(super) struct Machine {
     pub(super) address: String,
-    /// The node of the running process.
+    /// Control node of the process; `None` while the machine is down.
     pub(super) control: Option<ControlNode>,
-    /// Of the running process; [`NO_PROCESS`] while there is none.
+    /// Incarnation of the process; [`NO_PROCESS`] while the machine is down.
     pub(super) incarnation: Incarnation,
-    /// When the newest process started.
+    /// Start time of the newest process.
     pub(super) started_at: Instant,
-    /// The process does not run until then.
+    /// End of the newest pause.
     pub(super) paused_until: Instant,
     pub(super) shutdown: Option<Shutdown>,
-    /// Gone for good.
+    /// Whether the machine was removed permanently.
     pub(super) decommissioned: bool,
     pub(super) disk: Disk,
     pub(super) clock: MachineClock,
     pub(super) time_of_day: TimeOfDay,
-    /// The addresses that its settings name.
+    /// Bootstrap addresses in its settings.
     pub(super) bootstrap: Vec<String>,
-    /// It belongs to the first machines of the system and has never been started.
+    /// Whether this is one of the initial machines and has never been started.
     pub(super) is_initial: bool,
-    /// Counts as lost until then, see `loss_budget`.
+    /// The machine counts as lost until this time, see `loss_budget`.
     pub(super) lost_until: Instant,
-    /// Its disk was lost; what it had held is missing until then.
+    /// Time until which the data of a lost disk may be missing.
     pub(super) erased_until: Instant,
-    /// The highest number of a value that the process has decided.
+    /// Number of the newest value that the process has decided.
     pub(super) decided_number: ValueNumber,
     pub(super) contacts: Contacts,
-    /// While the process has not caught up.
+    /// Set until the process has caught up.
     pub(super) catch_up: Option<CatchUp>,
 }
 
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A process was started, and has yet to catch up.
+    /// Replaces the state of the previous process when a new one starts.
     pub(super) fn on_process_started(
         &mut self,
         control: ControlNode,
@@ -183,17 +183,17 @@
         self.control.is_some()
     }
 
-    /// Up, and not paused.
+    /// Reports whether the machine is up and its process is not paused.
     pub(super) fn is_running(&self, now: Instant) -> bool {
         self.is_up() && self.paused_until <= now
     }
 
-    /// The id of its disk, as the running process has it.
+    /// Returns the id of its disk if the machine is up.
     pub(super) fn voter_id(&self) -> Option<NodeId> {
         self.control.as_ref().map(|control| control.register().id())
     }
 
-    /// The running process of this machine, which is the one of this index.
+    /// Returns the current process; `index` is the index of this machine.
     pub(super) fn process(&self, index: usize) -> Process {
         Process {
             node: NodeIndex::Control(index),
--- a/crates/linenthread-simulation/src/system/mod.rs
+++ b/crates/linenthread-simulation/src/system/mod.rs
@@ -1,20 +1,21 @@
-//! Deterministic simulation of the system's control.
+//! Deterministic simulation of the control plane.
 //!
-//! Control nodes run the daemon's state machine and log, on disks that lose what was not synced; connections
-//! lose, delay and hang; ingress nodes ask for grants, operators race and retry. The [`invariant`]s are checked by
-//! what was acknowledged, decided and truly received. Everything that is random comes from the seed.
+//! Control nodes run the daemon's state machine and log on simulated disks that can lose unsynced data. Connections
+//! lose and delay messages, or hang. Ingress nodes request quota grants; operators send concurrent changes and retry
+//! them. The [`invariant`]s are checked against what was acknowledged, decided and actually received. All random
+//! choices derive from the seed.
 //!
-//! Start reading at [`simulation`]: it runs a schedule, event by event. Modules use only those below them:
+//! Start reading at [`simulation`], which runs a schedule event by event. Each layer uses only the layers below it:
 //!
 //! | layer | modules |
 //! | --- | --- |
 //! | a schedule and its events | [`simulation`] |
-//! | what is done to the system | [`faults`], [`recovery`], [`recovery_time`], [`shutdown`], [`operators`], [`ingress`], [`usage_traffic`] |
-//! | a step of a control node | [`execution`], [`responses`], [`platform_calls`] |
+//! | faults, recovery and traffic | [`faults`], [`recovery`], [`recovery_time`], [`shutdown`], [`operators`], [`ingress`], [`usage_traffic`] |
+//! | steps of a control node | [`execution`], [`responses`], [`platform_calls`] |
 //! | checks | [`checker`] |
-//! | all state, and what may be lost at once | [`world`], [`loss_budget`] |
-//! | parts of the state | [`machine`], [`disk`], [`clock`], [`time_of_day`], [`network`], [`ingress_node`], [`operator`], [`replicas`], [`requests`], [`history`], [`usage`], [`platform`], [`report`], [`usage_figures`], [`plan`] |
-//! | events, random numbers, kinds | [`event`], [`random`], [`fault`], [`invariant`] |
+//! | complete state, and the limit on simultaneous losses | [`world`], [`loss_budget`] |
+//! | components of the state | [`machine`], [`disk`], [`clock`], [`time_of_day`], [`network`], [`ingress_node`], [`operator`], [`replicas`], [`requests`], [`history`], [`usage`], [`platform`], [`report`], [`usage_figures`], [`plan`] |
+//! | events, random numbers, kinds of faults and invariants | [`event`], [`random`], [`fault`], [`invariant`] |
 
 mod checker;
 mod clock;
--- a/crates/linenthread-simulation/src/system/network.rs
+++ b/crates/linenthread-simulation/src/system/network.rs
@@ -1,5 +1,5 @@
-//! Connections between nodes: messages in order, delays, partitions of one or both directions, connections that
-//! hang.
+//! Simulated connections between nodes: ordered messages with delays, partitions in one or both directions, and hanging
+//! connections.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use super::event::{Delivery, EventQueue, NodeIndex, Process};
 use super::random::Random;
 
-/// One message in so many is slow while faults are injected.
+/// One message in this many is slow while faults are injected.
 const SLOW_MESSAGES: u64 = 50;
-/// How soon both sides of a connection that hung learn of its end.
+/// Delay until both ends are notified that a hanging connection was reset.
 const RESET_DELAY: Duration = Duration::from_millis(1);
 
 struct Connection {
     ends: [Process; 2],
-    /// When the last message from each end arrives: messages stay in order.
+    /// Arrival time of the last message from each end; later messages arrive no earlier, which keeps their order.
     last_arrival: [Instant; 2],
-    /// A message was lost: nothing arrives any more, and no end learns of it.
+    /// Whether a message was lost. Nothing arrives any more then, and neither end is notified.
     hangs: bool,
 }
 
 impl Connection {
-    /// The index of the end that is this node's.
+    /// Returns the index of this node's end.
     fn side_of(&self, node: NodeIndex) -> usize {
         usize::from(self.ends[0].node != node)
     }
@@ -34,9 +34,9 @@
 pub(super) struct Network {
     connections: BTreeMap<SessionId, Connection>,
     last_session: u64,
-    /// Nothing gets from the first to the second until then.
+    /// End of each partition; until then no message gets from the first node to the second.
     partitions: BTreeMap<(NodeIndex, NodeIndex), Instant>,
-    /// Some messages are slow.
+    /// Whether some messages are slow.
     has_slow_messages: bool,
 }
 
@@ -52,19 +52,19 @@
 
     // --- partitions ---
 
-    /// Whether nothing gets from one to the other now.
+    /// Reports whether messages from `from` to `to` are lost now.
     fn is_partitioned_from(&self, from: NodeIndex, to: NodeIndex, now: Instant) -> bool {
         self.partitions
             .get(&(from, to))
             .is_some_and(|until| *until > now)
     }
 
-    /// Whether any two nodes are partitioned now, in at least one direction.
+    /// Reports whether any two nodes are partitioned now, in at least one direction.
     pub(super) fn has_partition(&self, now: Instant) -> bool {
         self.partitions.values().any(|until| *until > now)
     }
 
-    /// Whether nothing gets through in at least one direction.
+    /// Reports whether the two nodes are partitioned now, in at least one direction.
     pub(super) fn is_partitioned(&self, a: NodeIndex, b: NodeIndex, now: Instant) -> bool {
         self.is_partitioned_from(a, b, now) || self.is_partitioned_from(b, a, now)
     }
@@ -74,7 +74,7 @@
         *end = until.max(*end);
     }
 
-    /// Ends all partitions and slowness, and resets connections that hang.
+    /// Ends all partitions and slow messages, and resets hanging connections.
     pub(super) fn heal(&mut self, queue: &mut EventQueue) {
         self.has_slow_messages = false;
         self.partitions.clear();
@@ -101,7 +101,7 @@
         self.connections.contains_key(&session)
     }
 
-    /// Sessions that end at this node.
+    /// Returns the sessions of this node.
     pub(super) fn sessions_of(&self, node: NodeIndex) -> Vec<SessionId> {
         self.connections
             .iter()
@@ -124,14 +124,14 @@
         session
     }
 
-    /// No message of this connection arrives before then.
+    /// Lets no message of this connection arrive before `at`.
     pub(super) fn delay_until(&mut self, session: SessionId, at: Instant) {
         if let Some(connection) = self.connections.get_mut(&session) {
             connection.last_arrival = [at, at];
         }
     }
 
-    /// One side ends a connection: the other learns of it, unless it is partitioned off.
+    /// Closes a connection from one end. The other end is notified unless the connection hangs or is partitioned.
     pub(super) fn close(
         &mut self,
         queue: &mut EventQueue,
@@ -181,7 +181,7 @@
         queue.deliver_at(at, to, delivery);
     }
 
-    /// How long a message takes.
+    /// Draws the delay of a message.
     pub(super) fn delay(&self, random: &mut Random) -> Duration {
         if random.one_in(SLOW_MESSAGES) && self.has_slow_messages {
             Duration::from_millis(30) + random.millis_below(300)
--- a/crates/linenthread-simulation/src/system/operator.rs
+++ b/crates/linenthread-simulation/src/system/operator.rs
@@ -1,9 +1,9 @@
-//! What an operator knows.
+//! State of an operator.
 
 use linenthread_control::{CallId, Order, Revision};
 use linenthread_time::Instant;
 
-/// A call that has no response yet.
+/// A call that awaits its response.
 #[derive(Clone, Copy)]
 pub(super) struct CallInFlight {
     pub(super) call: CallId,
@@ -12,20 +12,20 @@
 
 #[derive(Default)]
 pub(super) struct Operator {
-    /// The revision that it has seen last.
+    /// Revision that the operator has seen last.
     pub(super) revision: Revision,
-    /// The change that it has had no clear response to.
+    /// Change that has had no clear response yet.
     pub(super) change: Option<Order>,
     pub(super) in_flight: Option<CallInFlight>,
 }
 
 impl Operator {
-    /// It has made a call.
+    /// Records that a call was sent.
     pub(super) fn on_sent(&mut self, call: CallId, now: Instant) {
         self.in_flight = Some(CallInFlight { call, sent_at: now });
     }
 
-    /// It knows what became of its change; `revision` is the newest one.
+    /// Drops the change, since its outcome is known; `revision` is the newest revision.
     pub(super) fn on_clear_response(&mut self, revision: Revision) {
         *self = Operator {
             revision,
--- a/crates/linenthread-simulation/src/system/operators.rs
+++ b/crates/linenthread-simulation/src/system/operators.rs
@@ -1,5 +1,5 @@
-//! Operators that race: each sends a change until it has a clear response, and reads back. Changes that were
-//! committed long ago are sent again, to any node, and so are rival changes of the same revision.
+//! Concurrent operators: each sends a change until it gets a clear response, and reads the configuration. Changes that
+//! were committed earlier, and rival changes of the same revision, are sent again to any node.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use super::requests::Request;
 use super::world::World;
 
-/// How many later changes have been committed when one is sent again.
+/// Numbers of later committed changes after which a change is sent again; one is drawn for each retry.
 const RETRY_DISTANCES: [usize; 4] = [1, 10, 70, 300];
-/// How long an operator waits for a response.
+/// Time for which an operator waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A revision that no operator sends this soon: how far it is ahead of the newest one.
+/// Distance from the newest revision to one that no operator uses yet.
 const UNUSED_REVISION: u64 = 1_000;
 
 // --- operators ---
@@ -32,9 +32,9 @@
         if in_flight.is_some_and(|call| now < call.sent_at + RESPONSE_TIMEOUT) {
             return;
         }
-        if let Some(given_up) = self.operators[operator].in_flight.take() {
-            // It gives the call up: a later response is not received.
-            self.calls.remove(given_up.call);
+        if let Some(timed_out) = self.operators[operator].in_flight.take() {
+            // The operator gives up the call, so a later response is ignored.
+            self.calls.remove(timed_out.call);
         }
         if !self.is_running(node) {
             return;
@@ -100,7 +100,7 @@
 // --- retries of committed changes ---
 
 impl World {
-    /// A committed change is sent again, or a rival of it.
+    /// Sends a committed change again, or a rival of it, and schedules the next retry.
     pub(super) fn step_retry(&mut self) {
         let wait = if self.is_fast() {
             Duration::from_millis(100) + self.random.millis_below(400)
@@ -136,7 +136,8 @@
         }
     }
 
-    /// After the faults: each of the distances, the newest and the very first change, at every node.
+    /// Sends the changes at each of the distances, the newest one and the first one again to every node, after the
+    /// faults.
     pub(super) fn retry_all_changes(&mut self) {
         let first = self.history.changes.len().saturating_sub(1);
         for node in 0..self.machines.len() {
@@ -148,14 +149,15 @@
         }
     }
 
-    /// A process that was paused gets requests as soon as it resumes, before any message of another node.
+    /// Sends requests to a process as soon as it resumes from a pause, before it receives a message of another node.
     pub(super) fn send_requests_on_resume(&mut self, node: usize) {
         if !self.is_running(node) {
             return;
         }
         self.retry_change(node, 1);
         if let Some(newest) = self.history.changes.last().cloned() {
-            // It builds on what is no longer the newest revision, or on it: no response may be sure of that.
+            // The base precedes the newest committed revision, but the resumed node may still take it for the newest
+            // one. It must not give a definite response without a quorum.
             let stale = Order {
                 base: newest.base,
                 revision: Revision::new(newest.revision.get() + UNUSED_REVISION),
@@ -178,7 +180,7 @@
 // --- replicas ---
 
 impl World {
-    /// A replica sends a heartbeat to any node.
+    /// Sends a heartbeat of a replica to any node, and schedules the next one.
     pub(super) fn step_replica(&mut self) {
         let wait = Duration::from_millis(40) + self.random.millis_below(100);
         self.push_in(wait, Event::ReplicaHeartbeat);
@@ -210,7 +212,7 @@
 // --- calls ---
 
 impl World {
-    /// Notes a call; none where no process listens.
+    /// Records a call; returns `None` if the node has no process.
     fn add_call(&mut self, node: usize, request: Request) -> Option<CallId> {
         self.is_up(node).then(|| self.calls.add(node, request))
     }
--- a/crates/linenthread-simulation/src/system/plan.rs
+++ b/crates/linenthread-simulation/src/system/plan.rs
@@ -1,39 +1,39 @@
-//! What is drawn at the start of a schedule.
+//! Parameters that are drawn at the start of a schedule.
 
 use std::time::Duration;
 
 use super::random::Random;
 
-/// How long faults are injected in an ordinary schedule.
+/// Duration of fault injection in an ordinary schedule.
 const ORDINARY: Duration = Duration::from_millis(40_000);
-/// How long they are injected in a long schedule, and at most.
+/// Duration of fault injection in a long schedule; the maximum for every schedule.
 pub(super) const LONGEST: Duration = Duration::from_millis(150_000);
-/// One schedule in so many is long.
+/// One schedule in this many is long.
 const LONG_SCHEDULES: u64 = 12;
-/// One schedule in so many has many changes, and lasts for as long as they take, up to [`LONGEST`].
+/// One schedule in this many has many changes, and lasts until they are done or for [`LONGEST`].
 const FAST_SCHEDULES: u64 = 25;
-/// The fewest changes of such a schedule.
+/// Minimum number of changes in such a schedule.
 const FAST_MIN_CHANGES: usize = 500;
-/// Such a schedule has up to so many more changes.
+/// Maximum number of changes in such a schedule beyond [`FAST_MIN_CHANGES`].
 const FAST_EXTRA_CHANGES: usize = 1_500;
-/// Upper bounds of the gap between faults, in milliseconds: one is drawn.
+/// Upper bounds of the gap between faults, in milliseconds; one is drawn for each schedule.
 const FAULT_GAPS_MS: [u64; 3] = [1_500, 4_000, 8_000];
-/// The same for a schedule of replacements, which take longer.
+/// The same for a schedule of replacements, since a replacement takes longer than other faults.
 const REPLACEMENT_GAPS_MS: [u64; 3] = [6_000, 9_000, 12_000];
 
-/// The character of one schedule.
+/// Parameters of one schedule.
 pub(super) struct Plan {
-    /// How many changes operators send one after another.
+    /// Number of changes that operators send in quick succession; `None` for an ordinary pace.
     pub(super) changes: Option<usize>,
-    /// Operators pick the same revisions for different changes.
+    /// Whether operators may pick the same revision for different changes.
     pub(super) revisions_collide: bool,
-    /// Mostly replacements of machines, one after another.
+    /// Whether most faults are replacements of machines, one after another.
     pub(super) only_replacements: bool,
-    /// Faults are apart by less than so many milliseconds.
+    /// Exclusive upper bound of the random part of the gap between faults, in milliseconds.
     pub(super) fault_gap_ms: u64,
-    /// What a sync takes on a disk without a fault.
+    /// Duration of a sync on a disk without a fault.
     pub(super) sync_duration: Duration,
-    /// For how long faults are injected.
+    /// Duration of fault injection.
     pub(super) length: Duration,
 }
 
@@ -51,14 +51,15 @@
 }
 
 impl Plan {
-    /// Draws how slow disks are: in some schedules all are slow, and a power loss finds much that is not synced.
+    /// Draws the duration of a sync. In some schedules all disks are slow, so that a power loss hits much unsynced
+    /// data.
     pub(super) fn draw_sync_duration(&mut self, random: &mut Random) {
         if random.one_in(4) {
             self.sync_duration = Duration::from_millis(20) + random.millis_below(100);
         }
     }
 
-    /// Draws the rest, once the nodes are there; `changes` takes the place of the drawn number.
+    /// Draws the remaining parameters after the nodes were added; `changes` overrides the drawn number of changes.
     pub(super) fn draw(&mut self, random: &mut Random, changes: Option<usize>) {
         let drawn = random
             .one_in(FAST_SCHEDULES)
--- a/crates/linenthread-simulation/src/system/platform.rs
+++ b/crates/linenthread-simulation/src/system/platform.rs
@@ -1,4 +1,4 @@
-//! The platform that usage is reported to: it checks fences, keeps what it accepted, and can be in trouble.
+//! Simulated platform that receives usage reports. It checks fences, stores accepted reports, and can have faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 use super::event::Process;
 
-/// Within so long the platform must not accept calls of one node, of another one, and of the first one again.
+/// Lease time: within it the platform must not accept calls of one node, then of another, then of the first one again.
 pub(super) const LEASE: Duration = Duration::from_millis(3_000);
 
 /// How the platform responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Behaviour {
     Healthy,
-    /// Its responses take many times as long.
+    /// Its responses take much longer.
     Slow,
-    /// It turns every call away.
+    /// It rejects every call as busy.
     Busy,
     /// Calls to it, or its responses, are lost.
     Silent,
@@ -33,20 +33,20 @@
 
 pub(super) struct Platform {
     behaviour: Behaviour,
-    /// Until when it is in trouble.
+    /// End of the current fault.
     trouble_until: Instant,
-    /// Machines whose link to the platform is cut, and until when.
+    /// Machines whose link to the platform is cut, with the end of the fault.
     unreachable_until: BTreeMap<usize, Instant>,
     highest_fence: Epoch,
-    /// The first process that used each fence.
+    /// First process that used each fence.
     senders: BTreeMap<Epoch, Process>,
-    /// The first report of each window.
+    /// First report of each window.
     reports: BTreeMap<WindowNumber, AcceptedReport>,
-    /// Accepted calls of the last [`LEASE`], oldest first.
+    /// Calls accepted within the last [`LEASE`], oldest first.
     recent: Vec<(Instant, Process)>,
-    /// Processes and the fences that they know to be refused.
+    /// Incarnation numbers of processes, with fences that they know to be refused.
     refused: BTreeSet<(u64, Epoch)>,
-    /// The last process that made a call.
+    /// Process that wrote the last call.
     last_caller: Option<Process>,
 }
 
@@ -67,7 +67,7 @@
 
     // --- faults ---
 
-    /// It is in trouble until then.
+    /// Starts a fault that lasts until the given time.
     pub(super) fn set_behaviour(&mut self, behaviour: Behaviour, until: Instant) {
         self.behaviour = behaviour;
         self.trouble_until = until;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The link of this machine to the platform is cut until then.
+    /// Cuts the link of a machine to the platform until the given time.
     pub(super) fn cut_link(&mut self, node: usize, until: Instant) {
         self.unreachable_until.insert(node, until);
     }
@@ -92,7 +92,7 @@
             .is_none_or(|until| *until <= now)
     }
 
-    /// It has seen a fence above this one, from elsewhere.
+    /// Records that the platform has received a fence above this one from elsewhere.
     pub(super) fn raise_fence(&mut self, fence: Epoch) {
         self.highest_fence = self.highest_fence.max(fence.next());
     }
@@ -101,13 +101,13 @@
         self.highest_fence
     }
 
-    /// Whether it responds as usual, to every machine.
+    /// Reports whether the platform responds normally and every machine can reach it.
     pub(super) fn is_sound(&self, now: Instant) -> bool {
         let is_cut = self.unreachable_until.values().any(|until| *until > now);
         self.behaviour(now) == Behaviour::Healthy && !is_cut
     }
 
-    /// Ends all of its faults.
+    /// Ends all faults of the platform and of links to it.
     pub(super) fn heal(&mut self) {
         self.trouble_until = Instant::START;
         self.unreachable_until.clear();
@@ -115,7 +115,7 @@
 
     // --- calls ---
 
-    /// Whether it has accepted a higher fence than this one.
+    /// Reports whether the platform has received a higher fence than this one.
     pub(super) fn has_seen_above(&self, fence: Epoch) -> bool {
         fence < self.highest_fence
     }
@@ -134,7 +134,7 @@
         self.recent.push((now, caller));
     }
 
-    /// This process has learned that the fence is refused.
+    /// Records that a process has learned that a fence is refused.
     pub(super) fn on_refusal_known(&mut self, caller: Process, fence: Epoch) {
         self.refused.insert((caller.incarnation.get(), fence));
     }
@@ -143,7 +143,7 @@
         self.refused.contains(&(caller.incarnation.get(), fence))
     }
 
-    /// The first process that used this fence.
+    /// Returns the first process that used a fence.
     pub(super) fn sender(&self, fence: Epoch) -> Option<Process> {
         self.senders.get(&fence).copied()
     }
@@ -162,7 +162,8 @@
         self.reports.keys().next_back().copied()
     }
 
-    /// Whether it has accepted a call of the caller's machine, and then one of another, within [`LEASE`] before `now`.
+    /// Reports whether the platform has accepted a call of the caller's machine, and then one of another machine,
+    /// within [`LEASE`] before `now`.
     pub(super) fn would_return(&self, now: Instant, caller: Process) -> bool {
         let recent = || self.recent.iter().filter(|(at, _)| *at + LEASE > now);
         let own = recent().position(|(_, process)| process.node == caller.node);
--- a/crates/linenthread-simulation/src/system/platform_calls.rs
+++ b/crates/linenthread-simulation/src/system/platform_calls.rs
@@ -1,5 +1,5 @@
-//! Calls of control nodes at the platform, as the daemon's client makes them: a connection, a write that the lease
-//! permits, a response or none.
+//! Platform calls of control nodes, as the daemon's client makes them: it connects, writes the call if the lease
+//! permits, and waits for the response until a time-out.
 
 use std::time::Duration;
 
@@ -11,49 +11,49 @@
 use super::usage::CallerLoss;
 use super::world::World;
 
-/// A connection that is not made within so long is given up.
+/// Time-out for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long the request and the response may take together.
+/// Time-out for the request and the response together.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// The longest way to the platform or back, in milliseconds.
+/// Maximum latency to the platform or back, in milliseconds.
 const MAX_LATENCY_MS: u64 = 5;
-/// How many times as long a slow platform takes.
+/// Factor by which the response of a slow platform takes longer.
 const SLOWNESS: u32 = 50;
-/// One call in so many is held up on its way.
+/// One call in this many is delayed in transit.
 const HELD_UP_CALLS: u64 = 10;
-/// Calls are held up for less than so many milliseconds: then the kernel resets the connection.
+/// Exclusive upper bound of a call's delay, in milliseconds; after that the kernel resets the connection.
 const HELD_UP_MS: u64 = 1_600;
-/// Of the writes that a pause delays, one in so many has been checked against the end of the lease before it.
+/// One write in this many that a pause delays had its lease checked before the pause.
 const CHECKED_WRITES: u64 = 3;
-/// Around one call in so many its caller is lost.
+/// For one call in this many the caller is lost.
 const CALLER_LOSSES: u64 = 8;
-/// Such a loss comes sooner than so many milliseconds after the call was begun.
+/// Exclusive upper bound of the time from the start of the call to such a loss, in milliseconds.
 const CALLER_LOSS_WITHIN_MS: u64 = 20;
 
-/// After one call in so many of a machine that has taken the duty over, it is asked to shut down.
+/// A machine that has taken over usage reporting is asked to shut down after its first call, in one case in this many.
 const SUCCESSOR_RESTARTS: u64 = 2;
-/// That comes sooner than so many milliseconds after the call.
+/// Exclusive upper bound of the time from the call to the shutdown, in milliseconds.
 const SUCCESSOR_RESTART_WITHIN_MS: u64 = 400;
-/// How often a process that is paused is looked at again.
+/// Interval at which a paused process is checked again.
 const PAUSE_POLL: Duration = Duration::from_millis(100);
 
-/// When a process checks, before it writes a call, that its lease has not ended.
+/// State of the check that a process makes before it writes a call: that its lease has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseCheck {
-    /// Right before the write.
+    /// The check is made immediately before the write.
     Due,
-    /// Right before the write; it was paused before the check.
+    /// The check is made immediately before the write, after a pause.
     DueAfterPause,
-    /// It was paused between the check and the write.
+    /// The check passed, and the process was paused between it and the write.
     Passed,
 }
 
-/// A call that has been written, on its way to the platform.
+/// A written call in transit to the platform.
 pub(super) struct WrittenCall {
     pub(super) caller: Process,
     pub(super) call: PlatformCall,
     pub(super) written_at: Instant,
-    /// Lost if its process ends: the connection is reset.
+    /// Whether the call is delayed in transit; it is lost if its process ends meanwhile, which resets the connection.
     pub(super) is_held_up: bool,
 }
 
@@ -62,7 +62,7 @@
         Duration::from_millis(1) + self.usage.random.millis_below(MAX_LATENCY_MS)
     }
 
-    /// A control node makes a call: it connects first.
+    /// Starts a platform call of a control node by connecting.
     pub(super) fn call_platform(&mut self, node: usize, call: PlatformCall) {
         let now = self.now();
         self.draw_caller_loss(node);
@@ -89,8 +89,8 @@
         }
     }
 
-    /// The connection is there: the call is written, unless the lease has ended. A process that is paused does so once
-    /// it resumes.
+    /// Writes a call on an established connection, unless the lease has ended. A paused process continues when it
+    /// resumes.
     pub(super) fn write_platform_call(
         &mut self,
         caller: Process,
@@ -123,7 +123,7 @@
         self.send_call(node, caller, *call);
     }
 
-    /// Where in its check of the lease and its write a process was paused.
+    /// Draws whether a process was paused before or after its check of the lease.
     fn draw_paused_check(&mut self) -> LeaseCheck {
         if self.usage.random.one_in(CHECKED_WRITES) {
             LeaseCheck::Passed
@@ -161,7 +161,7 @@
         self.push_in(latency, Event::ReceivePlatformCall(Box::new(written)));
     }
 
-    /// A call arrives at the platform.
+    /// Handles the arrival of a call at the platform.
     pub(super) fn receive_platform_call(&mut self, written: &WrittenCall) {
         let now = self.now();
         let (caller, call) = (written.caller, &written.call);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// The platform accepts a call or refuses its fence.
+    /// Accepts a call, or refuses it if the platform has seen a higher fence.
     fn judge_call(&mut self, caller: Process, call: &PlatformCall) -> PlatformOutcome {
         let now = self.now();
         if self.usage.platform.has_seen_above(call.fence) {
@@ -214,13 +214,13 @@
         PlatformOutcome::Accepted
     }
 
-    /// A process that is paused learns of the end of a call once it has resumed.
+    /// Postpones the outcome of a call for a paused process.
     pub(super) fn postpone_outcome(&mut self, caller: Process, outcome: Delivery) {
         let at = self.now() + PAUSE_POLL;
         self.queue.deliver_at(at, caller, outcome);
     }
 
-    /// The process learns how its call ended.
+    /// Schedules the delivery of a call's outcome to its process.
     fn end_call(
         &mut self,
         at: Instant,
@@ -236,7 +236,7 @@
         self.queue.deliver_at(at, caller, delivery);
     }
 
-    /// The control node whose running process this is, paused or not.
+    /// Returns the control node if this is its current process, even if it is paused.
     fn running_control(&self, process: Process) -> Option<usize> {
         let NodeIndex::Control(node) = process.node else {
             return None;
@@ -246,7 +246,7 @@
     }
 }
 
-// --- the time from a caller's loss to the next call ---
+// --- time from the loss of a caller to the next call ---
 
 impl World {
     fn on_call_written(&mut self, caller: Process) {
@@ -260,7 +260,8 @@
         }
     }
 
-    /// The duty may move on right after it has moved: to the machine that was lost, if it is back.
+    /// May schedule a shutdown of the machine that has just taken over usage reporting. The duty can then move to the
+    /// machine that was lost before, if that is running again.
     fn draw_successor_restart(&mut self, caller: Process) {
         let may_restart = !self.is_healed() && !self.plan.only_replacements;
         if !may_restart || !self.usage.random.one_in(SUCCESSOR_RESTARTS) {
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Some calls have their caller lost, before they are written or after.
+    /// May schedule the loss of the caller, before or after the call is written.
     fn draw_caller_loss(&mut self, node: usize) {
         let may_lose = !self.is_healed() && !self.plan.only_replacements;
         if may_lose && self.usage.random.one_in(CALLER_LOSSES) {
@@ -292,7 +293,7 @@
         }
     }
 
-    /// A machine is lost, or its process does not run or reach the others: whoever called last matters.
+    /// Records the loss of the last caller, if this is its machine. A pause and a partition count as a loss as well.
     pub(super) fn on_machine_lost(&mut self, node: usize) {
         let last = self.usage.platform.last_caller();
         if last.is_some_and(|caller| self.running_control(caller) == Some(node)) {
--- a/crates/linenthread-simulation/src/system/random.rs
+++ b/crates/linenthread-simulation/src/system/random.rs
@@ -1,4 +1,4 @@
-//! The random numbers of one schedule, all from its seed.
+//! Random numbers of one schedule, derived from its seed.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 pub(super) struct Random(Rand64);
 
 impl Random {
-    /// Brings the items into a random order.
+    /// Shuffles the items.
     pub(super) fn shuffle<T>(&mut self, items: &mut [T]) {
         for last in (1..items.len()).rev() {
             items.swap(last, self.index(last + 1));
@@ -18,33 +18,33 @@
         Random(Rand64::new(u128::from(seed)))
     }
 
-    /// A number below `bound`; 0 if that is 0.
+    /// Returns a number below `bound`, or 0 if `bound` is 0.
     pub(super) fn below(&mut self, bound: u64) -> u64 {
         self.0.rand_range(0..bound.max(1))
     }
 
-    /// An index of a list of this length; 0 if it is empty.
+    /// Returns an index into a list of this length, or 0 if the list is empty.
     pub(super) fn index(&mut self, length: usize) -> usize {
         let bound = u64::try_from(length).unwrap_or(u64::MAX);
         usize::try_from(self.below(bound)).expect("below a length")
     }
 
-    /// True once in `n` draws on average.
+    /// Returns true with probability 1 / `n`.
     pub(super) fn one_in(&mut self, n: u64) -> bool {
         self.below(n) == 0
     }
 
-    /// A duration of whole milliseconds, shorter than so many.
+    /// Returns a duration of whole milliseconds below `bound`, or zero if `bound` is 0.
     pub(super) fn millis_below(&mut self, bound: u64) -> Duration {
         Duration::from_millis(self.below(bound))
     }
 
-    /// Any 64 bits, for the number of an incarnation.
+    /// Returns 64 random bits, used as the number of an incarnation.
     pub(super) fn bits(&mut self) -> u64 {
         self.0.rand_u64()
     }
 
-    /// The generator itself, for the modelled disk.
+    /// Returns the underlying generator for the simulated disk.
     pub(super) fn generator(&mut self) -> &mut Rand64 {
         &mut self.0
     }
--- a/crates/linenthread-simulation/src/system/recovery.rs
+++ b/crates/linenthread-simulation/src/system/recovery.rs
@@ -1,4 +1,4 @@
-//! The end of the faults, and the one restart after it.
+//! The end of fault injection, and the single restart after it.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use super::machine::ProcessEnd;
 use super::world::World;
 
-/// All machines that are down start so long after the faults ended.
+/// Delay from the end of the faults until all machines that are down are started.
 const START_DELAY: Duration = Duration::from_millis(100);
 
 impl World {
-    /// Ends all faults.
+    /// Ends all faults and starts the machines that are down.
     pub(super) fn heal(&mut self) {
         let now = self.now();
         self.healed_at = Some(now);
@@ -28,8 +28,9 @@
         }
     }
 
-    /// Operators correct the settings of a machine that name no machine that is there any more, and have a running process
-    /// read them again: with an empty disk it could not find the others, and they would not look for it.
+    /// Corrects the bootstrap addresses of a machine if none of them belongs to a machine that still exists, as
+    /// operators would, and reloads them in a running process. With an empty disk the machine could not find the others
+    /// otherwise, and they would not dial it.
     fn correct_settings(&mut self, node: usize) {
         let present: Vec<String> = self
             .machines
@@ -47,14 +48,14 @@
         self.run(node, |control, now, _| control.set_bootstrap(now, &present));
     }
 
-    /// The disk is as fast as others again, and has room.
+    /// Restores the disk's normal sync duration and free space.
     pub(super) fn repair_disk(&mut self, node: usize) {
         let disk = &mut self.machines[node].disk;
         disk.sync_duration = self.plan.sync_duration;
         disk.set_full(false);
     }
 
-    /// Once all have had time to recover: one more machine loses its disk, or its process is restarted.
+    /// Loses the disk of one more machine or restarts its process, after all machines have had time to recover.
     pub(super) fn restart_one(&mut self) {
         let node = self.any_machine();
         if !self.is_up(node) {
--- a/crates/linenthread-simulation/src/system/recovery_time.rs
+++ b/crates/linenthread-simulation/src/system/recovery_time.rs
@@ -1,4 +1,5 @@
-//! How long it takes from a loss until the control nodes are whole again: all that are there vote, but for one standby.
+//! Checks the time from a loss until the voters are complete again, that is, until all machines in service vote except
+//! for at most one standby.
 
 use std::time::Duration;
 
@@ -9,41 +10,42 @@
 use super::machine::Machine;
 use super::world::World;
 
-/// A voter is found lost after so long out of contact; one whose successor is there sooner need not be.
+/// A voter is considered lost after this time without contact; not needed if its successor starts sooner.
 const VOTER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How often the voters are looked at.
+/// Interval at which the voters are checked.
 const UPKEEP: Duration = Duration::from_millis(200);
-/// Both ends may wait so long before they dial, and a dial that failed while the machine was down is repeated after up to
+/// Maximum delay before either end dials. A dial that failed while the machine was down is repeated after up to
 /// [`DIAL_BACKOFF`].
 const DIAL_YIELD: Duration = Duration::from_millis(300);
-/// The longest pause between two dials.
+/// Maximum interval between two dials.
 const DIAL_BACKOFF: Duration = Duration::from_millis(1_600);
-/// Syncs one after another: of what the successor learns (two, since a write may be in progress), of the promises and of
-/// the acceptances (two each).
+/// Consecutive syncs: of what the successor learns, of the promises, and of the acceptances. Each counts twice, since a
+/// write may already be in progress.
 const SYNCS: u32 = 6;
-/// Rounds of orders that may be in progress, each of two phases of two syncs.
+/// Syncs of competing rounds for configuration changes that may be in progress: two rounds, each with two phases of
+/// two syncs.
 const COMPETING_SYNCS: u32 = 8;
-/// Messages between control nodes, slow ones included.
+/// Time for messages between control nodes, including slow ones.
 const MESSAGES: Duration = Duration::from_millis(400);
 
-/// A loss after which the control nodes are not whole again yet.
+/// A loss of disks or machines after which the voters are not complete yet.
 #[derive(Clone, Copy)]
 pub(super) struct Loss {
-    /// When the first of them came.
+    /// Time of the first loss.
     since: Instant,
-    /// No other machine was lost then, and no other fault came since.
+    /// Whether no other machine was lost at that time and no other fault has occurred since.
     is_calm: bool,
 }
 
-/// The longest time from a loss until the control nodes are whole again, or from the start of the last successor, where
-/// nothing else happens and a sync takes this long: the sum of the waits above.
+/// Returns the maximum time until the voters are complete again, measured from the loss or from the last start of a
+/// machine, whichever is later. It is the sum of the waits above, and applies if no other fault occurs.
 fn recovery_bound(sync_duration: Duration) -> Duration {
     let waits = VOTER_TIMEOUT + UPKEEP + DIAL_YIELD + DIAL_BACKOFF + MESSAGES;
     waits + sync_duration * (SYNCS + COMPETING_SYNCS)
 }
 
 impl World {
-    /// A disk or a machine is lost for good.
+    /// Records that a disk or machine was lost permanently.
     pub(super) fn begin_loss(&mut self) {
         let loss = Loss {
             since: self.now(),
@@ -53,7 +55,8 @@
         first.is_calm &= loss.is_calm;
     }
 
-    /// Whether nothing else is wrong than the loss of one machine, and operators send changes at an ordinary pace.
+    /// Reports whether at most one machine is lost, no other fault is in effect, and operators send changes at an
+    /// ordinary pace.
     fn is_calm(&self) -> bool {
         let is_sound = |machine: &Machine| {
             machine.disk.sync_duration == self.plan.sync_duration && !machine.disk.is_full()
@@ -62,14 +65,14 @@
         self.lost() <= 1 && self.machines.iter().all(is_sound) && !has_partition && !self.is_fast()
     }
 
-    /// Another fault comes.
+    /// Records that another fault occurred during the recovery from a loss.
     pub(super) fn disturb_recovery(&mut self) {
         if let Some(loss) = &mut self.loss {
             loss.is_calm = false;
         }
     }
 
-    /// Notes that the control nodes are whole again; [`Invariant::WholeAgain`] if that took too long.
+    /// Checks [`Invariant::WholeAgain`], and records the recovery time once the voters are complete.
     pub(super) fn check_recovery_time(&mut self) {
         let Some(loss) = self.loss else {
             return;
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Whether the voters of the newest value are the machines that are there, but for one standby.
+    /// Reports whether the voters of the newest value are the running machines, except for at most one standby.
     fn is_whole(&self) -> bool {
         let Some(newest) = self.history.newest_value() else {
             return false;
--- a/crates/linenthread-simulation/src/system/replicas.rs
+++ b/crates/linenthread-simulation/src/system/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas that send heartbeats, some of which drain.
+//! Replicas that send heartbeats; some of them drain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use super::random::Random;
 
 const REPLICAS: u64 = 12;
-/// Backends, and zones.
+/// Number of backends, and of zones.
 const GROUPS: u64 = 3;
-/// One heartbeat in so many starts to drain its replica.
+/// One heartbeat in this many starts to drain its replica.
 const DRAINS: u64 = 10;
-/// Each replica is followed by another of its kind after so long.
+/// Time after which a replica is replaced by one with a new id.
 const LIFETIME: Duration = Duration::from_millis(9_000);
 
 /// A heartbeat of a replica.
@@ -31,13 +31,13 @@
 }
 
 impl Replicas {
-    /// The next heartbeat of any replica.
+    /// Draws a replica and returns its next heartbeat.
     pub(super) fn draw_heartbeat(&mut self, random: &mut Random, now: Instant) -> DrawnHeartbeat {
         let replica = random.below(REPLICAS);
         let starts_to_drain = random.one_in(DRAINS);
         let generation = whole_millis(now.since(START)) / whole_millis(LIFETIME);
         let replica_id = format!("i-{replica}-{generation}");
-        // One that drains goes on draining.
+        // A draining replica never becomes available again.
         if starts_to_drain {
             self.draining.insert(replica_id.clone());
         }
@@ -50,7 +50,7 @@
             "{{\"backend\":\"b{group}\",\"address\":\"10.9.0.{replica}:1\",\"zone\":\"z{group}\",\
              \"phase\":\"{phase}\",\"call_count\":{count}}}"
         );
-        let heartbeat = serde_json::from_str(&text).expect("a heartbeat in proper form");
+        let heartbeat = serde_json::from_str(&text).expect("a valid heartbeat");
         DrawnHeartbeat {
             replica_id,
             heartbeat,
--- a/crates/linenthread-simulation/src/system/report.rs
+++ b/crates/linenthread-simulation/src/system/report.rs
@@ -1,4 +1,4 @@
-//! What a schedule reports: violations, a trace, and counts that show what it has covered.
+//! Output of a schedule: violations, a trace, and counts of what it covered.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use super::invariant::Invariant;
 use super::usage_figures::UsageFigures;
 
-/// Violations of one schedule that are reported; further ones add little.
+/// Maximum number of violations reported for one schedule; further ones add little information.
 const MAX_VIOLATIONS: usize = 5;
 
-/// What came to pass, to see what the simulation covers.
+/// Counts of what happened, which show what the simulation covers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Coverage {
     pub(super) acknowledgements: usize,
@@ -21,15 +21,15 @@
     pub(super) retries_committed: usize,
     pub(super) retries_unclear: usize,
     pub(super) rivals_rejected: usize,
-    /// Changes that were committed; the largest number of one schedule.
+    /// Largest number of changes committed in one schedule.
     pub(super) max_changes: usize,
     pub(super) max_catch_up_messages: usize,
     pub(super) max_catch_up_bytes: usize,
     pub(super) max_state_bytes: u64,
-    /// Times from a loss, and nothing else, until the control nodes were whole again, in milliseconds.
+    /// Times from a loss without any other fault until the voters were complete again, in milliseconds.
     pub(super) recovery_ms: Vec<u64>,
     pub(super) usage: UsageFigures,
-    /// How often each kind of fault came.
+    /// Number of faults by kind.
     pub(super) faults: BTreeMap<FaultKind, usize>,
 }
 
@@ -83,19 +83,19 @@
         let (Some(longest), Some(median)) = (times.last(), times.get(times.len() / 2)) else {
             return;
         };
-        let late = times[times.len() * 99 / 100];
+        let p99 = times[times.len() * 99 / 100];
         println!(
-            "whole again after {} losses: {median} ms in the median, {late} at the 99th percentile, {longest} at most",
+            "whole again after {} losses: {median} ms in the median, {p99} at the 99th percentile, {longest} at most",
             times.len()
         );
     }
 }
 
-/// What one schedule has reported so far.
+/// Output of one schedule so far.
 pub(super) struct Report {
     pub(super) violations: Vec<String>,
     pub(super) coverage: Coverage,
-    /// Prints each step.
+    /// Whether each step is printed.
     trace: bool,
 }
 
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Prints a step, where that was asked for.
+    /// Prints a step if tracing is enabled.
     pub(super) fn trace(&self, now: Instant, step: &str) {
         if self.trace {
             println!("{:>7} {step}", whole_millis(now.since(START)));
--- a/crates/linenthread-simulation/src/system/requests.rs
+++ b/crates/linenthread-simulation/src/system/requests.rs
@@ -1,38 +1,38 @@
-//! Calls of operators and replicas that wait for their response.
+//! Calls of operators and replicas that await a response.
 
 use std::collections::BTreeMap;
 
 use linenthread_control::{CallId, Order, Revision};
 
-/// What a call asks for.
+/// Request of a call.
 pub(super) enum Request {
-    /// A new change of an operator, or one that it has had no clear response to.
+    /// A new change of an operator, or a retry of one without a clear response.
     Replace {
         operator: usize,
         change: Order,
     },
-    /// A change that was committed, sent again after so many later ones.
+    /// A committed change that is sent again after `later` further changes.
     Retry {
         change: Order,
         later: usize,
     },
-    /// Another change under the revision of one that was committed.
+    /// A different change under the revision of a committed one.
     Rival {
         change: Order,
     },
-    /// A read, when this revision had been acknowledged.
+    /// A read; `acknowledged` is the newest revision acknowledged when it was sent.
     Read {
         operator: usize,
         acknowledged: Revision,
     },
-    /// A heartbeat of a replica that drains.
+    /// A heartbeat of a draining replica.
     Drain {
         replica_id: String,
     },
     Heartbeat,
 }
 
-/// A call that waits for its response.
+/// A call that awaits its response.
 struct Call {
     node: usize,
     request: Request,
@@ -45,7 +45,7 @@
 }
 
 impl Calls {
-    /// Notes a call at a node.
+    /// Adds a call to a node and returns its id.
     pub(super) fn add(&mut self, node: usize, request: Request) -> CallId {
         self.last_id += 1;
         let id = CallId(self.last_id);
@@ -53,12 +53,12 @@
         id
     }
 
-    /// Takes the request of a call; none if nobody waits for its response any more.
+    /// Removes a call and returns its request; `None` if nobody waits for its response any more.
     pub(super) fn remove(&mut self, id: CallId) -> Option<Request> {
         self.calls.remove(&id).map(|call| call.request)
     }
 
-    /// The process of a node has ended: its calls get no response.
+    /// Removes all calls to a node whose process has ended; they get no response.
     pub(super) fn remove_all_of(&mut self, node: usize) {
         self.calls.retain(|_, call| call.node != node);
     }
--- a/crates/linenthread-simulation/src/system/responses.rs
+++ b/crates/linenthread-simulation/src/system/responses.rs
@@ -1,4 +1,4 @@
-//! Responses of control nodes to operators and replicas: checked, and acted on by who waits for them.
+//! Checks responses of control nodes to operators and replicas, and delivers them to the callers.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use super::requests::Request;
 use super::world::World;
 
-/// A disk is lost after one acknowledgement in so many.
+/// A disk is lost after one acknowledgement in this many.
 const LOSS_AFTER_ACKNOWLEDGEMENTS: u64 = 12;
-/// The same where changes come one after another.
+/// The same while operators send changes in quick succession.
 const LOSS_AFTER_FAST_ACKNOWLEDGEMENTS: u64 = 120;
 
 impl World {
-    /// A call gets its response; it is lost if nobody waits for it any more.
+    /// Handles the response to a call; ignored if nobody waits for it any more.
     pub(super) fn on_response(&mut self, node: usize, call: CallId, response: Response) {
         let Some(request) = self.calls.remove(call) else {
             return;
@@ -58,8 +58,8 @@
 
     fn check_response_has_quorum(&mut self, node: usize, response: &Response) {
         match response {
-            // Only what is decided is acknowledged, see `check_acknowledgement`: a node that has just started may
-            // know of it from one other, and has had no contact to lose.
+            // Only decided changes are acknowledged, see `check_acknowledgement`. A node that has just started may have
+            // learned of the decision from a single node, without contact to a quorum so far.
             Response::Committed(_)
                 if self.now() < self.machines[node].started_at + QUORUM_TIMEOUT => {}
             Response::Committed(revision) => {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The response to a new change of an operator.
+    /// Handles the response to an operator's change.
     fn on_change_response(
         &mut self,
         node: usize,
--- a/crates/linenthread-simulation/src/system/shutdown.rs
+++ b/crates/linenthread-simulation/src/system/shutdown.rs
@@ -1,5 +1,5 @@
-//! Planned shutdowns: SIGTERM, then the end when control permits it or at the deadline; a restart afterwards, or
-//! the end of the machine. Rolling restarts, machine by machine.
+//! Planned shutdowns and rolling restarts. After SIGTERM a process ends when its control node permits it or at the
+//! deadline; then it is restarted, or the machine is decommissioned.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use super::machine::{AfterShutdown, ProcessEnd, Shutdown};
 use super::world::World;
 
-/// How long a process may take from SIGTERM to its end.
+/// Time from SIGTERM to the deadline of a shutdown.
 const GRACE_PERIOD: Duration = Duration::from_millis(8_000);
-/// How often a process checks whether it may end.
+/// Interval at which a process checks whether it may exit.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl World {
-    /// SIGTERM.
+    /// Sends SIGTERM to a process, unless it is paused or shutting down already.
     pub(super) fn begin_shutdown(&mut self, node: usize, then: AfterShutdown) {
         if !self.is_running(node) || self.machines[node].shutdown.is_some() {
             return;
@@ -32,14 +32,15 @@
         self.push_in(CHECK_INTERVAL, Event::CheckShutdown { node, incarnation });
     }
 
-    /// SIGTERM for a machine whose successor runs.
+    /// Begins to decommission a machine if its successor is running.
     pub(super) fn decommission(&mut self, node: usize, successor: usize) {
         if !self.machines[node].decommissioned && self.is_running(successor) {
             self.begin_shutdown(node, AfterShutdown::Decommission { successor });
         }
     }
 
-    /// A process that was asked to shut down ends, if control permits it or its deadline has passed.
+    /// Ends a process that is shutting down if its control node permits it or its deadline has passed. A machine that
+    /// is decommissioned without permission must also be within the loss budget.
     pub(super) fn check_shutdown(&mut self, node: usize, incarnation: Incarnation) {
         let machine = &self.machines[node];
         let Some(shutdown) = machine
@@ -71,21 +72,21 @@
         }
     }
 
-    /// Whether control permits the process to end.
+    /// Reports whether the control node permits its process to exit.
     fn may_end(&self, node: usize) -> bool {
         let clock = self.machine_clock(node);
         let control = self.machines[node].control.as_ref();
         self.is_running(node) && control.is_some_and(|control| control.may_exit(clock))
     }
 
-    /// A machine is gone for good, with its disk.
+    /// Removes a machine and its disk permanently.
     fn remove_machine(&mut self, node: usize, successor: usize) {
         self.end_process(node, ProcessEnd::PowerLost, None);
         let until = self.machines[successor].started_at + CATCH_UP_TIME;
         let machine = &mut self.machines[node];
         machine.disk.erase();
         machine.decommissioned = true;
-        // What it was lost for before its end counts on.
+        // An earlier loss may last longer.
         machine.lost_until = machine.lost_until.max(until);
         let delay = self.random.millis_below(3_000);
         if !self.is_healed() && self.random.one_in(2) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The next machine of a rolling restart.
+    /// Restarts one machine of a rolling restart, and schedules the next one.
     pub(super) fn step_rolling_restart(&mut self, node: usize) {
         if self.is_healed() || node >= self.machines.len() {
             return;
--- a/crates/linenthread-simulation/src/system/simulation.rs
+++ b/crates/linenthread-simulation/src/system/simulation.rs
@@ -1,4 +1,4 @@
-//! One schedule from its start through the faults and the recovery after them; many schedules by seed.
+//! Runs schedules by seed: each consists of a start, a time with faults, and the recovery after them.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -16,45 +16,46 @@
 use super::world::{World, core_address};
 use crate::run_summary::RunSummary;
 
-/// How long a schedule goes on after the faults.
+/// Duration of a schedule after the faults.
 const RECOVERY: Duration = Duration::from_millis(35_000);
-/// After the faults: when one machine is restarted.
+/// Time from the end of the faults until one machine is restarted.
 const RESTART_ONE_AFTER: Duration = Duration::from_millis(11_000);
-/// After the faults: when clocks of fewer than half of the machines step, which no report may show.
+/// Time from the end of the faults until the clocks of fewer than half of the machines step, which must not affect any
+/// report.
 const STEP_CLOCKS_AFTER: Duration = Duration::from_millis(9_000);
-/// After the faults: when old changes are sent again to every machine.
+/// Time from the end of the faults until old changes are sent again to every machine.
 const RETRY_ALL_AFTER: Duration = Duration::from_millis(18_000);
-/// A closing loss comes so long after the other faults, at least.
+/// Minimum delay of the closing loss after the other faults.
 const MIN_CLOSING_DELAY: Duration = Duration::from_millis(5);
-/// And sooner than so many milliseconds later.
+/// Exclusive upper bound of the delay beyond [`MIN_CLOSING_DELAY`], in milliseconds.
 const CLOSING_DELAY_MS: u64 = 395;
-/// Operators that send changes at the same time.
+/// Number of operators that send changes concurrently.
 const OPERATORS: usize = 2;
-/// How often control nodes are asked whether a timer is due.
+/// Interval at which the timers of control nodes are checked.
 const TICK: Duration = Duration::from_millis(10);
-/// A fast schedule is extended by so much until it has had its number of changes.
+/// Step by which a fast schedule is extended until it has had its number of changes.
 const EXTENSION: Duration = Duration::from_millis(1_000);
 
-/// What to simulate.
+/// Options of the system simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// How many schedules.
+    /// Number of schedules.
     pub(crate) schedules: usize,
-    /// The first schedule's seed; the others count on from it.
+    /// Seed of the first schedule; each further schedule uses the next number.
     pub(crate) seed: u64,
-    /// Machines of control nodes.
+    /// Number of control machines.
     pub(crate) core: usize,
-    /// Changes of each schedule, sent one after another; drawn if not given.
+    /// Number of changes that operators send in quick succession in each schedule; drawn if not given.
     pub(crate) changes: Option<usize>,
-    /// Schedules that are run at once.
+    /// Number of schedules that run in parallel.
     pub(crate) jobs: usize,
-    /// Prints what the schedules covered.
+    /// Whether a summary of what the schedules covered is printed.
     pub(crate) summary: bool,
-    /// Prints each step.
+    /// Whether each step is printed.
     pub(crate) trace: bool,
 }
 
-/// Runs all schedules and prints the violations that they found.
+/// Runs all schedules, and prints the violations found and the summary if requested.
 pub(crate) fn run(options: &Options) -> RunSummary {
     let end = options.seed + u64::try_from(options.schedules).unwrap_or(u64::MAX);
     let next_seed = AtomicU64::new(options.seed);
@@ -68,7 +69,7 @@
             let result = run_schedule(options, seed);
             results
                 .lock()
-                .expect("no thread panics while it holds this")
+                .expect("no thread panics while it holds the lock")
                 .insert(seed, result);
         }
     };
@@ -96,7 +97,7 @@
     }
 }
 
-/// What one schedule found.
+/// Result of one schedule.
 struct ScheduleResult {
     violations: Vec<String>,
     coverage: Coverage,
@@ -129,7 +130,7 @@
 }
 
 impl World {
-    /// Adds the first nodes and operators, and schedules what happens again and again.
+    /// Adds the initial nodes and the operators, and schedules the periodic events.
     fn start(&mut self, core: usize) {
         self.plan.draw_sync_duration(&mut self.random);
         for node in 0..core {
@@ -161,8 +162,8 @@
         }
     }
 
-    /// In half of the schedules the faults end with a loss, some time after operators have sent changes: they do so all
-    /// the time.
+    /// Ends the faults with a loss in half of the schedules. The random delay places it soon after a change, since
+    /// operators send changes all the time.
     fn close_with_loss(&mut self) {
         if !self.random.one_in(2) {
             return;
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Each running control node works on its timers that are due.
+    /// Runs the timers that are due at each running control node.
     fn run_timers(&mut self) {
         for node in 0..self.machines.len() {
             let clock = self.machine_clock(node);
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Delivers to a process: lost if it has ended, later if it is paused.
+    /// Delivers input to a process. It is discarded if the process has ended, and postponed if the process is paused.
     fn deliver(&mut self, to: Process, delivery: Delivery) {
         match to.node {
             NodeIndex::Ingress(index) => {
--- a/crates/linenthread-simulation/src/system/time_of_day.rs
+++ b/crates/linenthread-simulation/src/system/time_of_day.rs
@@ -1,4 +1,4 @@
-//! The time of day: the true one, and what the clock of each machine shows of it.
+//! The true time of day, and the wall clock of each machine.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 use super::event::START;
 use super::random::Random;
 
-/// The true time of day when a schedule starts, in milliseconds since the start of 1970.
+/// True time of day at the start of a schedule, in milliseconds since the Unix epoch.
 const TRUE_START_MS: u64 = 1_767_225_600_000;
-/// A clock without a fault is off by this much at most, in milliseconds.
+/// Maximum error of a clock without a fault, in milliseconds.
 const MAX_ERROR_MS: u64 = 20;
-/// A step is longer than the shortest one by less than so many milliseconds.
+/// Exclusive upper bound of a step's length beyond [`MIN_STEP_MS`], in milliseconds.
 const STEP_RANGE_MS: u64 = 9_000;
-/// The shortest step, in milliseconds.
+/// Minimum length of a step, in milliseconds.
 const MIN_STEP_MS: u64 = 1_000;
 
-/// The true time of day at a moment of simulated time.
+/// Returns the true time of day at the given simulated time.
 pub(super) fn true_time(now: Instant) -> WallTime {
     WallTime::from_millis(TRUE_START_MS + whole_millis(now.since(START)))
 }
 
-/// The moment of simulated time at which this is the true time of day; the start for earlier ones.
+/// Returns the simulated time of a true time of day; [`START`] for times before the schedule.
 pub(super) fn moment_of(time: WallTime) -> Instant {
     START + Duration::from_millis(time.as_millis().saturating_sub(TRUE_START_MS))
 }
 
-/// Draws by how many milliseconds a clock steps, forward or back.
+/// Draws the step of a clock in milliseconds; negative for a step back.
 pub(super) fn draw_step_ms(random: &mut Random) -> i64 {
     let step = (MIN_STEP_MS + random.below(STEP_RANGE_MS)).cast_signed();
     if random.one_in(2) { step } else { -step }
 }
 
-/// The clock of a machine that shows the time of day.
+/// Wall clock of a machine.
 pub(super) struct TimeOfDay {
-    /// By how many milliseconds it is ahead while there is no fault.
+    /// Offset from the true time without a fault, in milliseconds; positive if the clock is ahead.
     error_ms: i64,
-    /// By how many milliseconds it has been stepped.
+    /// Additional offset until `stepped_until`, in milliseconds.
     step_ms: i64,
     stepped_until: Instant,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What it shows at a moment of simulated time.
+    /// Returns the clock's reading at the given simulated time.
     pub(super) fn read(&self, now: Instant) -> WallTime {
         let step_ms = if self.is_stepped(now) {
             self.step_ms
@@ -64,7 +64,7 @@
         WallTime::from_millis(shown)
     }
 
-    /// It is off by a step until then.
+    /// Applies a step until the given time.
     pub(super) fn step(&mut self, step_ms: i64, until: Instant) {
         self.step_ms = step_ms;
         self.stepped_until = until;
@@ -74,7 +74,7 @@
         self.stepped_until > now
     }
 
-    /// A step is taken back.
+    /// Ends a step.
     pub(super) fn correct(&mut self) {
         self.stepped_until = Instant::START;
     }
--- a/crates/linenthread-simulation/src/system/usage.rs
+++ b/crates/linenthread-simulation/src/system/usage.rs
@@ -1,4 +1,4 @@
-//! What the simulation knows of usage reports: the truth, the platform, and when the system was last disturbed.
+//! State of the simulation of usage reports: the true counts of requests, the platform, and the time of the last fault.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,44 +12,44 @@
 use super::random::Random;
 use super::time_of_day::{moment_of, true_time};
 
-/// How long after the end of a window its report is due at the platform: the users' `usage_delay_s`.
+/// Time from the end of a window until its report is due at the platform: the users' `usage_delay_s`.
 pub(super) const REPORT_DELAY: Duration = Duration::from_millis(10_000);
-/// How much a report may be off, for each tenant, as a share of the truth: the users' `usage_error`.
+/// Maximum relative error of a report for each tenant: the users' `usage_error`.
 pub(super) const MAX_ERROR: f64 = 0.05;
-/// What the platform takes of all nodes together, in calls a second.
+/// Rate limit of the platform for all nodes together, in calls per second.
 const CALLS_PER_SECOND: f64 = 50.0;
-/// The length of windows that users have: their `report_window_s`, in milliseconds.
+/// The users' length of a window, in milliseconds: their `report_window_s`.
 const TARGET_WINDOW_MS: u64 = 5_000;
-/// Lengths of windows, in milliseconds: one is drawn for each schedule. Shorter ones have more reports decided and sent
-/// around each fault.
+/// Lengths of windows, in milliseconds; one is drawn for each schedule. With shorter windows more reports are decided
+/// and sent around each fault.
 const WINDOW_LENGTHS_MS: [u64; 2] = [2_000, TARGET_WINDOW_MS];
 /// Names of tenants.
 pub(super) const TENANTS: [&str; 2] = ["large", "small"];
-/// Combined with a schedule's seed, so that usage has random numbers of its own.
+/// Combined with the schedule's seed to give usage its own sequence of random numbers.
 const SEED_MASK: u64 = 0x7573_6167_6500_0000;
 
-/// The machine that called the platform last was lost.
+/// Loss of the machine that called the platform last.
 #[derive(Clone, Copy)]
 pub(super) struct CallerLoss {
     pub(super) at: Instant,
-    /// How many faults had been injected by then.
+    /// Number of faults that had been injected by then.
     pub(super) faults: usize,
 }
 
 pub(super) struct Usage {
-    /// Random numbers for usage and its faults.
+    /// Source of random numbers for usage and its faults.
     pub(super) random: Random,
     pub(super) window_length: WindowLength,
     pub(super) platform: Platform,
     pub(super) tenants: Vec<Rc<str>>,
-    /// How many requests of each tenant replicas truly began, by window of true time.
+    /// Number of requests of each tenant that replicas actually began, by window of true time.
     truth: BTreeMap<WindowNumber, BTreeMap<String, u64>>,
-    /// When a fault was last injected, or in force.
+    /// Last time at which a fault was injected or in effect.
     pub(super) disturbed_at: Instant,
-    /// The oldest window whose report has not been due yet.
+    /// Oldest window whose report is not due yet.
     pub(super) next_due: WindowNumber,
     pub(super) caller_loss: Option<CallerLoss>,
-    /// How many faults were injected.
+    /// Number of faults injected so far.
     pub(super) faults: usize,
 }
 
@@ -80,36 +80,36 @@
         }
     }
 
-    /// Whether windows are as long as those of users, whose bound for the delay holds for them.
+    /// Reports whether windows have the users' length; the users' bound on the delay applies only to those.
     pub(super) fn has_target_windows(&self) -> bool {
         self.window_length.as_millis() == TARGET_WINDOW_MS
     }
 
-    /// When a window starts.
+    /// Returns the start of a window.
     pub(super) fn start_of(&self, window: WindowNumber) -> Instant {
         self.end_of(window)
             .saturating_sub(Duration::from_millis(self.window_length.as_millis()))
     }
 
-    /// When a window ends.
+    /// Returns the end of a window.
     pub(super) fn end_of(&self, window: WindowNumber) -> Instant {
         moment_of(window.end(self.window_length))
     }
 
-    /// When the report of a window is due at the platform.
+    /// Returns the time at which the report of a window is due at the platform.
     pub(super) fn due_at(&self, window: WindowNumber) -> Instant {
         self.end_of(window) + REPORT_DELAY
     }
 
-    /// Replicas truly began so many requests of a tenant at this moment.
+    /// Records that replicas began requests of a tenant at this time.
     pub(super) fn add_truth(&mut self, tenant: &str, at: Instant, requests: u64) {
         let window = WindowNumber::of(true_time(at), self.window_length);
         let tenants = self.truth.entry(window).or_default();
         *tenants.entry(tenant.to_owned()).or_default() += requests;
     }
 
-    /// By how much the report of a window is off, for the tenant for which it is off most, as a share of the truth.
-    /// `None` where there is no report that can be read.
+    /// Returns the relative error of a window's report for the tenant with the largest error; `None` if there is no
+    /// readable report.
     pub(super) fn error_of(&self, window: WindowNumber) -> Option<f64> {
         let body = &self.platform.report(window)?.body;
         let body: serde_json::Value = serde_json::from_slice(body).ok()?;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Counts of requests are far below 2^32 in a schedule.
+/// Converts a count of requests, which is far below 2^32 in a schedule.
 fn as_f64(count: u64) -> f64 {
     u32::try_from(count).map_or(f64::INFINITY, f64::from)
 }
--- a/crates/linenthread-simulation/src/system/usage_figures.rs
+++ b/crates/linenthread-simulation/src/system/usage_figures.rs
@@ -1,19 +1,19 @@
-//! Figures of usage reports that the summary prints.
+//! Figures on usage reports that the summary prints.
 
-/// What came to pass of usage reports.
+/// Counts, times and errors of usage reports.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UsageFigures {
     pub(super) accepted_calls: usize,
     pub(super) refused_calls: usize,
-    /// Times from the loss of the machine that called last to the next call, of another process, in milliseconds.
+    /// Times from the loss of the last caller to the next call of another process, in milliseconds.
     pub(super) succession_ms: Vec<u64>,
-    /// Of these, where no other fault came in between, and the platform was sound.
+    /// The times among these with no other fault in between and a healthy platform.
     pub(super) undisturbed_succession_ms: Vec<u64>,
-    /// Times from the end of each window to the arrival of its report, in milliseconds.
+    /// Times from the end of each window to the acceptance of its report, in milliseconds.
     pub(super) delays_ms: Vec<u64>,
-    /// By how much each report was off, as a share of the truth.
+    /// Relative error of each report, for the tenant with the largest error.
     pub(super) errors: Vec<f64>,
-    /// Of these, where no fault came near.
+    /// Errors of reports with no fault from shortly before their window until they were due.
     pub(super) calm_errors: Vec<f64>,
 }
 
@@ -54,9 +54,9 @@
     let (Some(longest), Some(median)) = (times.last(), times.get(times.len() / 2)) else {
         return;
     };
-    let late = times[times.len() * 99 / 100];
+    let p99 = times[times.len() * 99 / 100];
     println!(
-        "{name}: {} times, {median} ms in the median, {late} at the 99th percentile, {longest} at most",
+        "{name}: {} times, {median} ms in the median, {p99} at the 99th percentile, {longest} at most",
         times.len()
     );
 }
--- a/crates/linenthread-simulation/src/system/usage_traffic.rs
+++ b/crates/linenthread-simulation/src/system/usage_traffic.rs
@@ -1,4 +1,4 @@
-//! Requests that replicas begin for ingress nodes, which count them and tell their control node.
+//! Requests that replicas begin for ingress nodes, which count them and report the counts to their control node.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use super::ingress_node::INGRESS_NODES;
 use super::world::World;
 
-/// Requests begin in steps of this length.
+/// Interval between the times at which requests begin.
 const STEP: Duration = Duration::from_millis(10);
-/// In each step an ingress node has fewer requests than this of each of the tenants, in their order.
+/// Exclusive upper bounds of an ingress node's requests in one step, by tenant, in the order of the tenants.
 const REQUEST_BOUNDS: [u64; 2] = [5, 2];
-/// How often the checker looks at usage.
+/// Interval at which the checker checks usage reports.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl World {
-    /// Counts the requests of an ingress node that began since this was last done.
+    /// Draws and counts the requests of an ingress node that began since the previous call.
     pub(super) fn count_requests(&mut self, index: usize) {
         let now = self.now();
         let ingress = &mut self.ingress.nodes[index];
@@ -35,18 +35,18 @@
         }
     }
 
-    /// The same for all ingress nodes.
+    /// Draws and counts the requests of all ingress nodes that began since the previous call.
     pub(super) fn count_all_requests(&mut self) {
         (0..INGRESS_NODES).for_each(|index| self.count_requests(index));
     }
 
-    /// Sends all counts that are kept, at the start of a session.
+    /// Sends all retained counts, at the start of a session.
     pub(super) fn send_all_usage(&mut self, index: usize) {
         let windows = self.ingress.nodes[index].counter.all();
         self.send_usage(index, windows);
     }
 
-    /// Sends the counts that have risen since they were last sent.
+    /// Sends the counts that have changed since they were last sent.
     pub(super) fn send_changed_usage(&mut self, index: usize) {
         let windows = self.ingress.nodes[index].counter.take_changed();
         self.send_usage(index, windows);
@@ -69,7 +69,7 @@
         self.send(from, session, PeerMessage::UsageUpdate(update));
     }
 
-    /// Notes whether a fault is in force, and checks the reports that have become due.
+    /// Records whether a fault is in effect, and checks the reports that have become due.
     pub(super) fn step_usage(&mut self) {
         self.push_in(CHECK_INTERVAL, Event::CheckUsage);
         if !self.is_healed() && self.is_usage_disturbed() {
@@ -79,13 +79,13 @@
         self.check_due_reports();
     }
 
-    /// A fault is injected, or in force.
+    /// Records that a fault is injected or in effect.
     pub(super) fn disturb_usage(&mut self) {
         self.usage.disturbed_at = self.now();
     }
 
-    /// Whether any machine, disk or link is in trouble, or the platform. Clocks of less than half of the machines that are
-    /// off are no trouble: windows must not follow them.
+    /// Reports whether a fault of a machine, disk, link or the platform is in effect. Wrong clocks on fewer than half
+    /// of the machines do not count, since windows must not follow them.
     fn is_usage_disturbed(&self) -> bool {
         let now = self.now();
         let has_slow_or_full_disk = self.machines.iter().any(|machine| {
--- a/crates/linenthread-simulation/src/system/world.rs
+++ b/crates/linenthread-simulation/src/system/world.rs
@@ -1,5 +1,5 @@
-//! All state of one schedule: time, network, nodes, callers, and what the checker knows. What happens to it is
-//! in the modules above: `execution`, `ingress`, `operators`, `faults`, `recovery`.
+//! Complete state of one schedule: time, network, nodes, callers, and the checker's data. The modules of the layers
+//! above change it, such as `execution`, `ingress`, `operators`, `faults` and `recovery`.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 use super::time_of_day::TimeOfDay;
 use super::usage::Usage;
 
-/// Initial voters, and addresses that settings name.
+/// Number of initial voters, and of bootstrap addresses in settings.
 pub(super) const BOOTSTRAP_NODES: usize = 3;
 
 pub(super) struct World {
@@ -42,20 +42,20 @@
     pub(super) report: Report,
     pub(super) plan: Plan,
     pub(super) usage: Usage,
-    /// The value that the first machines start with.
+    /// Value that the initial machines start with.
     pub(super) genesis: Value,
-    /// The addresses that the first machines' settings name.
+    /// Bootstrap addresses in the settings of the initial machines.
     pub(super) bootstrap: Vec<String>,
-    /// Machines that may be lost at once, see `loss_budget`.
+    /// Maximum number of machines that may be lost at once, see `loss_budget`.
     pub(super) max_lost: usize,
-    /// A loss after which the control nodes are not whole again yet.
+    /// Loss after which the voters are not complete yet.
     pub(super) loss: Option<Loss>,
-    /// When the faults ended.
+    /// Time at which the faults ended.
     pub(super) healed_at: Option<Instant>,
 }
 
 impl World {
-    /// A world without nodes, for a core of so many machines.
+    /// Creates a world without nodes, for `core` initial control machines.
     pub(super) fn new(core: usize, seed: u64, trace: bool) -> World {
         let bootstrap: Vec<String> = (0..core.min(BOOTSTRAP_NODES)).map(core_address).collect();
         World {
@@ -85,7 +85,7 @@
         self.queue.now()
     }
 
-    /// What the steady clock of a machine shows.
+    /// Returns the reading of a machine's monotonic clock.
     pub(super) fn machine_clock(&self, node: usize) -> Instant {
         self.machines[node].clock.read(self.now())
     }
@@ -94,12 +94,12 @@
         self.queue.push_in(delay, event);
     }
 
-    /// Whether the faults are over.
+    /// Reports whether the faults have ended.
     pub(super) fn is_healed(&self) -> bool {
         self.healed_at.is_some()
     }
 
-    /// Operators send one change after another until the schedule has had its number of them.
+    /// Reports whether operators send changes in quick succession, because the schedule has not had its number of them.
     pub(super) fn is_fast(&self) -> bool {
         self.plan
             .changes
@@ -170,12 +170,12 @@
     }
 }
 
-/// The address of one of the first machines.
+/// Returns the address of an initial machine.
 pub(super) fn core_address(node: usize) -> String {
     format!("10.0.0.{}:80", node + 1)
 }
 
-/// The address of a machine that came later.
+/// Returns the address of a machine that was added later.
 pub(super) fn replacement_address(node: usize) -> String {
     format!("10.0.1.{}:80", node + 1)
 }
--- a/crates/linenthread-simulation/tests/closed_output.rs
+++ b/crates/linenthread-simulation/tests/closed_output.rs
@@ -1,5 +1,5 @@
-//! A closed output pipe ends the program quietly, and never with success: the checks behind it did not run, or their
-//! violations could not be printed.
+//! A closed output pipe ends the program without a message and never with success: the remaining checks did not run, or
+//! their violations could not be printed.
 
 use std::process::Command;
 
--- a/crates/linenthread-simulation/tests/no_wall_clock.rs
+++ b/crates/linenthread-simulation/tests/no_wall_clock.rs
@@ -1,10 +1,10 @@
-//! Jumps of the time of day reach nothing but usage reports: no package of control reads a clock, and the daemon reads
-//! the time of day only to draw the number of an incarnation, for the times in its log, and to tell the state machine of
-//! a control node what its machine's clock shows.
+//! Jumps of the time of day affect only usage reports. No package of the control plane reads a clock, and the daemon
+//! reads the time of day only to draw the number of an incarnation, for the times in its log, and to pass the reading
+//! of the machine's clock to the state machine of a control node.
 //!
-//! That one reading is there because the windows of usage reports are windows of the time of day, as the page of their
-//! users has it. Nothing else may depend on it: it is read in one place, handed on in one place, and named by those
-//! sources only that agree on the time of day. Agreement, leases and storage don't know it.
+//! The state machine needs that reading because the windows of usage reports are windows of the time of day, as the
+//! users' page requires. Nothing else may depend on it: it is read in one place, passed on in one place, and named only
+//! by the sources that agree on the time of day. Consensus, leases and storage do not use it.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use linenthread_control::{ControlNode, Effect, Incarnation, NodeConfig, SessionId};
 use linenthread_time::Instant;
 
-/// Names of the time of day.
+/// Names of the standard library for the time of day.
 const TIME_OF_DAY: [&str; 2] = ["SystemTime", "UNIX_EPOCH"];
-/// Ways to read a clock, whatever name it has been imported under: calls, and functions that are passed on.
+/// Ways to read a clock under any imported name: calls, and functions passed as values.
 const READS: [&str; 3] = ["::now", "elapsed", "Instantas"];
-/// All of the standard library's times that a state machine may name: it holds no moment. `Instant` is
-/// `linenthread_time`'s own, which no clock makes.
+/// The only item of `std::time` that a state machine may name: it is not a point in time. The state machines use the
+/// `Instant` of `linenthread_time`, which cannot read a clock.
 const ALLOWED_OF_STD_TIME: [&str; 2] = ["::Duration", "::{Duration}"];
-/// The paths by which an `Instant` may be named, without blanks.
+/// Permitted paths of `Instant`, without whitespace.
 const ALLOWED_INSTANT: [&str; 2] = ["linenthread_time::Instant", "linenthread_time::{Instant"];
-/// An `Instant` that is named by a path, or imported in a list.
+/// Forms of an `Instant` that is named by a path or imported in a list, without whitespace.
 const NAMED_INSTANT: [&str; 4] = ["::Instant", "{Instant,", ",Instant,", ",Instant}"];
-/// The package that defines an `Instant`, and the one source that does.
+/// Package that defines `linenthread_time::Instant`, and the source file that does.
 const DEFINING_PACKAGE: &str = "linenthread-time";
 const DEFINES_INSTANT: &str = "linenthread-time/src/lib.rs";
-/// The sources of the daemon that name the time of day, and how often each reads it: it draws the number of an
-/// incarnation, gives log lines the time that the log has read, and reads the clock for usage reports.
+/// Sources of the daemon that name the time of day, and how often each reads it: to draw the number of an incarnation,
+/// to format the time that the log has read, and to read the clock for usage reports.
 const READERS: [(&str, usize); 3] = [
     ("incarnation.rs", 1),
     ("event_log.rs", 0),
     ("wall_clock.rs", 1),
 ];
-/// The one source of the daemon that asks for the clock for usage reports.
+/// The only source of the daemon that reads the clock for usage reports through the module `wall_clock`.
 const READS_WALL_CLOCK: &str = "control/task.rs";
-/// What moments of the time of day are known by in state machines: their types, and the ways to the agreed time.
+/// Names for the time of day in state machines: its types, and the functions that return the agreed time.
 const TIME_OF_DAY_NAMES: [&str; 4] = ["WallTime", "ClockOffset", "agreed_offset", "wall_time("];
-/// The sources of the daemon and of control that name one: those that agree on the time of day, the client that hands
-/// it to the counts of usage, and the sender of usage reports.
+/// Sources that contain one of these names: those that agree on the time of day, the client that passes it to the usage
+/// counter, the sender of usage reports, and the daemon's reader of the clock.
 const NAME_TIME_OF_DAY: [&str; 7] = [
     "linenthread-control/src/agreed_time.rs",
     "linenthread-control/src/control_node.rs",
@@ -49,9 +49,10 @@
     "linenthread-node/src/control_client/session.rs",
     "linenthread-node/src/wall_clock.rs",
 ];
-/// Types of the windows of usage reports.
+/// Types for windows of usage reports.
 const WINDOW_NAMES: [&str; 2] = ["WindowLength", "WindowNumber"];
-/// The sources that name one: settings, usage reports, and their agreement, to which a window is a number.
+/// Sources that contain one of these names: settings, usage reports, and the consensus on them, which treats a window
+/// as a number.
 const NAME_WINDOWS: [&str; 11] = [
     "linenthread-consensus/src/change.rs",
     "linenthread-consensus/src/decided_state.rs",
@@ -95,7 +96,7 @@
     names.iter().any(|name| text(path).contains(name))
 }
 
-/// A source without its comments and blanks.
+/// Returns a source without comments and whitespace.
 fn code(source: &str) -> String {
     source
         .lines()
@@ -104,7 +105,7 @@
         .collect()
 }
 
-/// The code with lists of imports that have `linenthread_time`'s `Instant` among others cut down to it.
+/// Reduces import lists of `linenthread_time` that contain `Instant` to an import of `Instant` alone.
 fn with_instant_imported_alone(code: &str) -> String {
     const LIST: &str = "uselinenthread_time::{";
     let mut pieces = code.split(LIST);
@@ -124,19 +125,20 @@
     cut
 }
 
-/// Whether a source could read a clock: it names one of the standard library or of another package, or calls one.
+/// Reports whether a source could read a clock: it names one of the standard library or of another package, or calls
+/// one.
 fn reads_clock(source: &str) -> bool {
     let code = code(source);
     reads_clock_apart_from_instant(&code)
         || names_foreign_instant(&with_instant_imported_alone(&code))
 }
 
-/// The same for the modules of the package that defines `Instant`, which name it by the path within the package.
+/// The same for modules of the package that defines `Instant`, which name it by its path within the package.
 fn reads_clock_beside_instant(source: &str) -> bool {
     reads_clock(&source.replace("crate::", "linenthread_time::"))
 }
 
-/// Whether an `Instant` is named that is not `linenthread_time`'s.
+/// Reports whether the code names an `Instant` other than that of `linenthread_time`.
 fn names_foreign_instant(code: &str) -> bool {
     let imports_allowed = ALLOWED_INSTANT
         .iter()
@@ -148,14 +150,15 @@
         || NAMED_INSTANT.iter().any(|name| rest.contains(name))
 }
 
-/// The checks that also hold for the source that defines `Instant`.
+/// Reports whether the code could read a clock, apart from its use of `Instant`. This check also applies to the source
+/// that defines `Instant`.
 fn reads_clock_apart_from_instant(code: &str) -> bool {
     let names_std_time = code.split("std::time").skip(1).any(|rest| {
         !ALLOWED_OF_STD_TIME
             .iter()
             .any(|allowed| rest.starts_with(allowed))
     });
-    // A nested import could name a clock without `std::time`: none is needed.
+    // A nested import could name a clock without `std::time`, and no source needs one.
     let has_nested_import = code.contains("std::{") || code.contains("core::{");
     names_std_time
         || has_nested_import
@@ -230,7 +233,7 @@
     }
 }
 
-/// The short path of `linenthread_time`'s own `Instant` is good within its package only, and no clock's beside it.
+/// `crate::Instant` is permitted only in the package that defines `Instant`, and clocks are recognized there as well.
 #[test]
 fn the_package_of_instant_names_it_by_its_short_path() {
     let own = "use crate::Instant; fn tick(now: Instant) {}";
@@ -271,7 +274,7 @@
     let mut asked = 0;
     for path in sources("linenthread-node") {
         let code = code(&text(&path));
-        // A path or an import of the module, or of what is in it.
+        // Uses of the module by path or import.
         let names = code.matches("wall_clock").count();
         if path.ends_with(READS_WALL_CLOCK) {
             assert!(code.contains("usecrate::wall_clock;"));
@@ -289,7 +292,8 @@
     assert_eq!(asked, 1);
 }
 
-/// The sources of the daemon and of control that name any of these in their code, as `package/src/path`.
+/// Returns the sources of the daemon and the control plane whose code contains any of these names, as
+/// `package/src/path`.
 fn sources_naming(names: &[&str]) -> Vec<String> {
     let mut naming = Vec::new();
     for package in [
@@ -342,8 +346,8 @@
     )
 }
 
-/// Two incarnations that draw one number hold no session with each other: neither votes for the other's proposals
-/// or leases, which are told apart by that number. Each is as if partitioned from the other.
+/// Guards against two incarnations that draw the same number and then vote for each other's proposals or leases, which
+/// are distinguished only by that number. They must reject sessions with each other, as if they were partitioned.
 #[test]
 fn two_incarnations_of_one_number_reject_each_other() {
     let (mut one, mut other) = (node("one", 7), node("other", 7));
--- a/crates/linenthread-simulation/tests/system.rs
+++ b/crates/linenthread-simulation/tests/system.rs
@@ -1,4 +1,5 @@
-//! The simulation of control: the same seed gives the same schedule, however many are run at once.
+//! The simulation of the control plane gives the same output for the same seeds, however many schedules run in
+//! parallel.
 
 use std::process::Command;
 
@@ -11,14 +12,14 @@
     String::from_utf8(output.stdout).expect("text")
 }
 
-/// The number that follows this text at the start of a line of a summary.
+/// Returns the number after `text` on the line of the summary that starts with it.
 fn counted(summary: &str, text: &str) -> Option<usize> {
     let rest = summary.lines().find_map(|line| line.strip_prefix(text))?;
     let number = rest.split(|c: char| !c.is_ascii_digit()).next()?;
     number.parse().ok()
 }
 
-// Guards against schedules that check nothing of usage reports.
+/// Guards against schedules that do not exercise usage reports.
 #[test]
 fn schedules_cover_usage_reports() {
     let summary = schedules(&["--core", "5"]);
