--- a/crates/linenthread-simulation/src/system/checker/catch_up.rs
+++ b/crates/linenthread-simulation/src/system/checker/catch_up.rs
@@ -51,7 +51,7 @@
     /// [`MAX_TIME`].
     pub(super) fn check_all_caught_up(&mut self) {
         for node in 0..self.machines.len() {
-            if let Some(target) = self.is_overdue(node) {
+            if let Some(target) = self.overdue_value(node) {
                 let details = format!("{node} is still without value {target}");
                 self.violation(Invariant::CatchesUp, &details);
             }
@@ -59,7 +59,7 @@
     }
 
     /// Returns the number of the value that a machine should have decided by now, if it has not.
-    fn is_overdue(&self, node: usize) -> Option<ValueNumber> {
+    fn overdue_value(&self, node: usize) -> Option<ValueNumber> {
         let catch_up = self.machines[node].catch_up.as_ref()?;
         let start: Instant = catch_up.started_at.max(self.healed_at?);
         (self.now() > start + MAX_TIME).then_some(catch_up.target)
--- a/crates/linenthread-simulation/src/system/checker/lease.rs
+++ b/crates/linenthread-simulation/src/system/checker/lease.rs
@@ -7,7 +7,7 @@
 use super::super::world::World;
 
 /// Tolerance in comparisons of sums of shares.
-const ROUNDING: f64 = 1e-6;
+const TOLERANCE: f64 = 1e-6;
 
 impl World {
     /// Checks [`Invariant::OneLeaseHolderPerEpoch`].
@@ -41,7 +41,7 @@
     /// Checks [`Invariant::GrantsWithinAllowance`] for what all incarnations may have used in the window that ends now.
     pub(in super::super) fn check_grants(&mut self) {
         let usage = self.ingress.max_usage(self.queue.now());
-        if usage > RETRY_ALLOWANCE + ROUNDING {
+        if usage > RETRY_ALLOWANCE + TOLERANCE {
             let details = format!("{usage} of {RETRY_ALLOWANCE} may be in use");
             self.violation(Invariant::GrantsWithinAllowance, &details);
         }
--- a/crates/linenthread-simulation/src/system/checker/quorum.rs
+++ b/crates/linenthread-simulation/src/system/checker/quorum.rs
@@ -78,7 +78,7 @@
         self.push_in(CHECK_INTERVAL, Event::CheckIngressSessions);
         let now = self.now();
         // A node that shuts down accepts no sessions.
-        let takes_sessions: Vec<bool> = self
+        let accepts_sessions: Vec<bool> = self
             .machines
             .iter()
             .enumerate()
@@ -88,10 +88,10 @@
             .collect();
         for index in 0..INGRESS_NODES {
             let is_usable = |node: usize| {
-                takes_sessions[node]
+                accepts_sessions[node]
                     && !self.is_partitioned(NodeIndex::Ingress(index), NodeIndex::Control(node))
             };
-            let is_any_usable = (0..takes_sessions.len()).any(is_usable);
+            let is_any_usable = (0..accepts_sessions.len()).any(is_usable);
             let ingress = &self.ingress.nodes[index];
             let has_session = ingress.session.is_some() && is_usable(ingress.control);
             let ingress = &mut self.ingress.nodes[index];
--- a/crates/linenthread-simulation/src/system/checker/replicas.rs
+++ b/crates/linenthread-simulation/src/system/checker/replicas.rs
@@ -9,7 +9,7 @@
 use super::super::world::World;
 
 /// A process that has run for less than this may have known a drain before it was restarted.
-const RECENT_START: Duration = Duration::from_millis(1_500);
+const RECENT_START_TIME: Duration = Duration::from_millis(1_500);
 
 impl World {
     /// Checks [`Invariant::DrainsAreKnown`].
@@ -27,7 +27,7 @@
         // A voter that may have known the drain and has been restarted since counts as knowing it.
         let restarted = voters
             .iter()
-            .filter(|voter| !self.has_run_for_a_while(voter))
+            .filter(|voter| !self.is_long_running(voter))
             .count();
         if (known + restarted) * 2 <= voters.len() {
             let details = format!("{known} of {} know of {replica_id}", voters.len());
@@ -49,8 +49,8 @@
             .any(|control| control.register().id() == voter.into() && is_known(control))
     }
 
-    fn has_run_for_a_while(&self, voter: &Voter) -> bool {
-        let started_before = |start| start + RECENT_START < self.now();
+    fn is_long_running(&self, voter: &Voter) -> bool {
+        let started_before = |start| start + RECENT_START_TIME < self.now();
         self.machines.iter().any(|machine| {
             machine.voter_id() == Some(voter.into()) && started_before(machine.started_at)
         })
--- a/crates/linenthread-simulation/src/system/checker/usage.rs
+++ b/crates/linenthread-simulation/src/system/checker/usage.rs
@@ -69,13 +69,13 @@
         while self.usage.due_at(self.usage.next_due) <= self.now() {
             let window = self.usage.next_due;
             self.usage.next_due = window.next();
-            if self.usage.disturbed_at + SETTLE_TIME <= self.usage.start_of(window) {
-                self.check_calm_report(window);
+            if self.usage.last_fault_at + SETTLE_TIME <= self.usage.start_of(window) {
+                self.check_report_without_faults(window);
             }
         }
     }
 
-    fn check_calm_report(&mut self, window: WindowNumber) {
+    fn check_report_without_faults(&mut self, window: WindowNumber) {
         let due_at = self.usage.due_at(window);
         let report = self.usage.platform.report(window);
         let is_late = report.is_none_or(|report| report.at > due_at);
@@ -86,7 +86,7 @@
         let Some(error) = self.usage.error_of(window) else {
             return;
         };
-        self.report.coverage.usage.calm_errors.push(error);
+        self.report.coverage.usage.errors_without_faults.push(error);
         if error > MAX_ERROR {
             let details = format!("the report of window {window} is off by {error:.3}");
             self.violation(Invariant::UsageRight, &details);
--- a/crates/linenthread-simulation/src/system/clock.rs
+++ b/crates/linenthread-simulation/src/system/clock.rs
@@ -11,7 +11,7 @@
 use super::random::Random;
 
 /// Exclusive upper bound of a clock's offset, in milliseconds.
-const MAX_OFFSET_MS: u64 = 1 << 40;
+const OFFSET_RANGE_MS: u64 = 1 << 40;
 /// Maximum drift of a clock from simulated time in either direction, in parts per million.
 const MAX_DRIFT_PPM: u64 = 200;
 
@@ -24,7 +24,7 @@
 
 impl MachineClock {
     pub(super) fn draw(random: &mut Random) -> MachineClock {
-        let offset = random.millis_below(MAX_OFFSET_MS);
+        let offset = random.millis_below(OFFSET_RANGE_MS);
         let drift = random.below(2 * MAX_DRIFT_PPM + 1).cast_signed();
         MachineClock {
             offset,
--- a/crates/linenthread-simulation/src/system/execution.rs
+++ b/crates/linenthread-simulation/src/system/execution.rs
@@ -28,7 +28,7 @@
 /// length changes the figures.
 const NAME_PREFIX: &str = "ctl";
 /// Number of zones of control nodes.
-const ZONES: usize = 3;
+const ZONE_COUNT: usize = 3;
 
 // --- start and end ---
 
@@ -73,7 +73,7 @@
         let machine = &self.machines[node];
         NodeConfig {
             name: format!("{NAME_PREFIX}-{node}"),
-            zone: format!("z{}", node % ZONES),
+            zone: format!("z{}", node % ZONE_COUNT),
             incarnation,
             control_address: machine.address.clone(),
             voter_eligible: true,
@@ -134,7 +134,7 @@
         }
         self.calls.remove_all_of(node);
         if let Some(delay) = restart_in {
-            self.count_lost(node, self.now() + delay);
+            self.mark_lost(node, self.now() + delay);
             self.push_in(delay, Event::StartProcess { node });
         }
     }
@@ -142,7 +142,7 @@
     /// Ends a process and erases its disk. The machine restarts with an empty disk, at the same address.
     pub(super) fn lose_disk(&mut self, node: usize, restart_in: Duration) {
         self.end_process(node, ProcessEnd::PowerLost, Some(restart_in));
-        self.begin_loss();
+        self.record_loss();
         let erased_until = self.now() + restart_in + CATCH_UP_TIME;
         let machine = &mut self.machines[node];
         machine.disk.erase();
--- a/crates/linenthread-simulation/src/system/faults/crashes.rs
+++ b/crates/linenthread-simulation/src/system/faults/crashes.rs
@@ -11,7 +11,7 @@
 use super::super::world::World;
 
 /// The bootstrap addresses of a machine change with one restart in this many.
-const BOOTSTRAP_CHANGES: u64 = 3;
+const BOOTSTRAP_CHANGE_ONE_IN: u64 = 3;
 
 impl World {
     pub(super) fn crash_one(&mut self, node: usize) {
@@ -57,7 +57,7 @@
     /// May change the bootstrap addresses in a machine's settings, effective from its next start. Some of the new ones
     /// may be of machines that are down, partitioned off or decommissioned, but one is of a machine in service.
     pub(super) fn draw_bootstrap_change(&mut self, node: usize) {
-        if !self.random.one_in(BOOTSTRAP_CHANGES) {
+        if !self.random.one_in(BOOTSTRAP_CHANGE_ONE_IN) {
             return;
         }
         self.count_fault(FaultKind::BootstrapChanged);
@@ -65,7 +65,7 @@
             .filter(|other| *other != node && !self.machines[*other].decommissioned)
             .collect();
         let one = present[self.random.index(present.len())];
-        let others = [self.any_machine(), self.any_machine()];
+        let others = [self.random_machine(), self.random_machine()];
         self.machines[node].bootstrap = others
             .into_iter()
             .chain([one])
@@ -81,7 +81,7 @@
         self.count_fault(kind);
         let resumes = self.now() + Duration::from_millis(300) + self.random.millis_below(max_ms);
         self.machines[node].paused_until = resumes;
-        self.count_lost(node, resumes);
+        self.mark_lost(node, resumes);
         self.on_machine_lost(node);
         if self.random.one_in(2) {
             self.queue
--- a/crates/linenthread-simulation/src/system/faults/disks.rs
+++ b/crates/linenthread-simulation/src/system/faults/disks.rs
@@ -28,7 +28,7 @@
         let sync_ms = SLOW_SYNCS_MS[self.random.index(SLOW_SYNCS_MS.len())];
         let sync_duration = Duration::from_millis(sync_ms);
         self.machines[node].disk.sync_duration = sync_duration;
-        self.count_lost(node, ends + sync_duration);
+        self.mark_lost(node, ends + sync_duration);
         self.queue.push_at(ends, Event::RepairDisk { node });
     }
 
@@ -36,7 +36,7 @@
         self.count_fault(FaultKind::DiskFull);
         let ends = self.now() + Duration::from_millis(500) + self.random.millis_below(8_000);
         self.machines[node].disk.set_full(true);
-        self.count_lost(node, ends);
+        self.mark_lost(node, ends);
         self.queue.push_at(ends, Event::RepairDisk { node });
     }
 }
--- a/crates/linenthread-simulation/src/system/faults/mod.rs
+++ b/crates/linenthread-simulation/src/system/faults/mod.rs
@@ -17,9 +17,9 @@
 /// Minimum time between two faults.
 const MIN_GAP: Duration = Duration::from_millis(300);
 /// Exclusive upper bound of the random part of an ordinary pause, in milliseconds.
-const PAUSE_MS: u64 = 7_300;
+const PAUSE_RANGE_MS: u64 = 7_300;
 /// The same for a long pause, which can outlast every lease and time-out.
-const LONG_PAUSE_MS: u64 = 25_000;
+const LONG_PAUSE_RANGE_MS: u64 = 25_000;
 
 /// A fault that can be injected.
 #[derive(Clone, Copy)]
@@ -104,7 +104,7 @@
         let gap = MIN_GAP + self.random.millis_below(self.plan.fault_gap_ms);
         self.push_in(gap, Event::InjectFault);
         let fault = self.draw_fault();
-        let node = self.any_machine();
+        let node = self.random_machine();
         if self.machines[node].decommissioned {
             return;
         }
@@ -125,8 +125,8 @@
             Fault::LongPartition => self.partition_long(node),
             Fault::Split => self.split_in_halves(),
             Fault::IngressPartition => self.partition_ingress(node),
-            Fault::Pause => self.pause(node, PAUSE_MS, FaultKind::Pause),
-            Fault::LongPause => self.pause(node, LONG_PAUSE_MS, FaultKind::LongPause),
+            Fault::Pause => self.pause(node, PAUSE_RANGE_MS, FaultKind::Pause),
+            Fault::LongPause => self.pause(node, LONG_PAUSE_RANGE_MS, FaultKind::LongPause),
             Fault::SlowDisk => self.slow_disk(node),
             Fault::FullDisk => self.fill_disk(node),
             Fault::IngressRestart => self.restart_ingress(),
--- a/crates/linenthread-simulation/src/system/faults/partitions.rs
+++ b/crates/linenthread-simulation/src/system/faults/partitions.rs
@@ -12,7 +12,7 @@
 /// Minimum duration of a partition.
 const MIN_DURATION: Duration = Duration::from_millis(300);
 /// Exclusive upper bound of the random part of a split's duration, in milliseconds.
-const SPLIT_MS: u64 = 6_000;
+const SPLIT_RANGE_MS: u64 = 6_000;
 /// Minimum duration of a long partition.
 const LONG_MIN_DURATION: Duration = Duration::from_millis(20_000);
 
@@ -50,7 +50,7 @@
     /// both. The smaller half misses what the other one decides meanwhile.
     pub(super) fn split_in_halves(&mut self) {
         self.count_fault(FaultKind::SplitInHalves);
-        let until = self.now() + MIN_DURATION + self.random.millis_below(SPLIT_MS);
+        let until = self.now() + MIN_DURATION + self.random.millis_below(SPLIT_RANGE_MS);
         let mut nodes: Vec<usize> = (0..self.machines.len())
             .filter(|node| !self.machines[*node].decommissioned)
             .collect();
@@ -61,7 +61,7 @@
                 let other = NodeIndex::Control(*other);
                 self.partition_pair(node, other, until, Directions::Both);
             }
-            self.count_lost(node, until);
+            self.mark_lost(node, until);
         }
     }
 
@@ -72,9 +72,9 @@
         if self.random.one_in(2) {
             self.partition_from_others(node, until, directions);
         } else {
-            let other = self.any_machine();
+            let other = self.random_machine();
             self.partition_pair(node, NodeIndex::Control(other), until, directions);
-            self.count_lost(node, until);
+            self.mark_lost(node, until);
         }
     }
 
@@ -95,7 +95,7 @@
                 self.partition_pair(node, NodeIndex::Ingress(ingress), until, directions);
             }
         }
-        self.count_lost(node, until);
+        self.mark_lost(node, until);
         self.on_machine_lost(node);
     }
 
--- a/crates/linenthread-simulation/src/system/faults/platform.rs
+++ b/crates/linenthread-simulation/src/system/faults/platform.rs
@@ -10,16 +10,16 @@
 use super::super::platform::Behaviour;
 use super::super::time_of_day::draw_step_ms;
 use super::super::world::World;
-use super::{LONG_PAUSE_MS, PAUSE_MS};
+use super::{LONG_PAUSE_RANGE_MS, PAUSE_RANGE_MS};
 
 /// Minimum time between two of these faults.
 const MIN_GAP: Duration = Duration::from_millis(1_000);
 /// Minimum duration of a platform fault and of a clock step.
 const MIN_DURATION: Duration = Duration::from_millis(500);
 /// Exclusive upper bound of the random part of these durations, in milliseconds.
-const DURATION_MS: u64 = 12_000;
+const DURATION_RANGE_MS: u64 = 12_000;
 /// Ways in which the platform can be down.
-const DOWN: [Behaviour; 3] = [Behaviour::Silent, Behaviour::Busy, Behaviour::Reset];
+const DOWN_BEHAVIOURS: [Behaviour; 3] = [Behaviour::Silent, Behaviour::Busy, Behaviour::Reset];
 
 /// A fault that can be injected.
 #[derive(Clone, Copy)]
@@ -53,7 +53,7 @@
         }
         let gap = MIN_GAP + self.usage.random.millis_below(self.plan.fault_gap_ms);
         self.push_in(gap, Event::InjectUsageFault);
-        let until = self.now() + MIN_DURATION + self.usage.random.millis_below(DURATION_MS);
+        let until = self.now() + MIN_DURATION + self.usage.random.millis_below(DURATION_RANGE_MS);
         match FAULTS[self.usage.random.index(FAULTS.len())] {
             Fault::LastCallerLost if self.plan.only_replacements => {}
             Fault::LastCallerLost => {
@@ -62,13 +62,13 @@
                 }
             }
             Fault::PlatformDown => {
-                let behaviour = DOWN[self.usage.random.index(DOWN.len())];
-                self.trouble_platform(behaviour, until, FaultKind::PlatformDown);
+                let behaviour = DOWN_BEHAVIOURS[self.usage.random.index(DOWN_BEHAVIOURS.len())];
+                self.inject_platform_fault(behaviour, until, FaultKind::PlatformDown);
             }
             Fault::PlatformSlow => {
-                self.trouble_platform(Behaviour::Slow, until, FaultKind::PlatformSlow);
+                self.inject_platform_fault(Behaviour::Slow, until, FaultKind::PlatformSlow);
             }
-            Fault::PlatformCut => self.cut_platform(until),
+            Fault::PlatformCut => self.cut_platform_link(until),
             Fault::ClockStep => self.step_clocks(),
             Fault::FenceRaised => self.raise_fence(),
         }
@@ -76,19 +76,19 @@
 
     /// Counts a fault that affects only usage reports.
     fn count_usage_fault(&mut self, kind: FaultKind) {
-        self.disturb_usage();
+        self.record_usage_fault();
         self.usage.faults += 1;
         self.report.count_fault(self.queue.now(), kind);
     }
 
-    fn trouble_platform(&mut self, behaviour: Behaviour, until: Instant, kind: FaultKind) {
+    fn inject_platform_fault(&mut self, behaviour: Behaviour, until: Instant, kind: FaultKind) {
         self.count_usage_fault(kind);
         self.usage.platform.set_behaviour(behaviour, until);
     }
 
     /// Cuts the link from the last caller's machine to the platform, or that of a random machine if there was no call
     /// yet.
-    fn cut_platform(&mut self, until: Instant) {
+    fn cut_platform_link(&mut self, until: Instant) {
         self.count_usage_fault(FaultKind::PlatformCut);
         let any = self.usage.random.index(self.machines.len());
         let node = self.last_caller().unwrap_or(any);
@@ -105,7 +105,7 @@
     /// Steps the wall clocks of fewer than half of the machines by some seconds for a while.
     pub(in super::super) fn step_clocks(&mut self) {
         let now = self.now();
-        let until = now + MIN_DURATION + self.usage.random.millis_below(DURATION_MS);
+        let until = now + MIN_DURATION + self.usage.random.millis_below(DURATION_RANGE_MS);
         let has_stepped = self
             .machines
             .iter()
@@ -150,8 +150,8 @@
         }
         match self.usage.random.below(5) {
             0 | 1 => self.crash_one(node),
-            2 => self.pause(node, PAUSE_MS, FaultKind::Pause),
-            3 => self.pause(node, LONG_PAUSE_MS, FaultKind::LongPause),
+            2 => self.pause(node, PAUSE_RANGE_MS, FaultKind::Pause),
+            3 => self.pause(node, LONG_PAUSE_RANGE_MS, FaultKind::LongPause),
             _ => self.partition_node(node),
         }
     }
--- a/crates/linenthread-simulation/src/system/faults/replacements.rs
+++ b/crates/linenthread-simulation/src/system/faults/replacements.rs
@@ -19,8 +19,8 @@
         let successor = self.add_replacement();
         self.push_in(start_in, Event::StartProcess { node: successor });
         self.end_process(node, ProcessEnd::PowerLost, None);
-        self.begin_loss();
-        self.count_lost(node, self.now() + start_in);
+        self.record_loss();
+        self.mark_lost(node, self.now() + start_in);
         let machine = &mut self.machines[node];
         machine.disk.erase();
         machine.decommissioned = true;
@@ -38,7 +38,7 @@
         let start = self.now() + Duration::from_millis(50) + self.random.millis_below(500);
         self.queue
             .push_at(start, Event::StartProcess { node: successor });
-        self.count_lost(successor, start);
+        self.mark_lost(successor, start);
         let shutdown = start + CATCH_UP_TIME + self.random.millis_below(3_000);
         self.queue
             .push_at(shutdown, Event::Decommission { node, successor });
--- a/crates/linenthread-simulation/src/system/faults/second_losses.rs
+++ b/crates/linenthread-simulation/src/system/faults/second_losses.rs
@@ -11,13 +11,13 @@
 use super::super::world::World;
 
 /// Exclusive upper bound of the delay of a second loss, in milliseconds.
-const SECOND_LOSS_WITHIN_MS: u64 = 3_000;
+const SECOND_LOSS_RANGE_MS: u64 = 3_000;
 
 impl World {
     /// Schedules a second loss soon after `from`, with probability 1/2.
     pub(super) fn draw_second_loss(&mut self, from: Instant) {
         if self.random.one_in(2) {
-            let at = from + self.random.millis_below(SECOND_LOSS_WITHIN_MS);
+            let at = from + self.random.millis_below(SECOND_LOSS_RANGE_MS);
             self.queue.push_at(at, Event::SecondLoss);
         }
     }
@@ -25,17 +25,17 @@
     /// Injects a loss right after a change of the voters: of a disk within the budget, possibly with a power loss of
     /// all others, or a crash.
     pub(in super::super) fn inject_second_loss(&mut self) {
-        let node = self.any_machine();
+        let node = self.random_machine();
         if self.is_healed() || !self.is_up(node) {
             return;
         }
-        let way = self.random.below(4);
-        if way < 3 && self.may_lose_one() {
+        let choice = self.random.below(4);
+        if choice < 3 && self.may_lose_one() {
             self.count_fault(FaultKind::SecondDiskLost);
             let restart_in = Duration::from_millis(200) + self.random.millis_below(1_000);
             self.lose_disk(node, restart_in);
         }
-        match way {
+        match choice {
             0 => self.end_all(ProcessEnd::PowerLost, FaultKind::AllOthersLosePower),
             3 => self.crash_one(node),
             _ => {}
@@ -50,11 +50,11 @@
             return false;
         }
         self.count_fault(FaultKind::ClosingLoss);
-        let mut by_age: Vec<usize> = (0..self.machines.len())
+        let mut by_disk_age: Vec<usize> = (0..self.machines.len())
             .filter(|node| self.is_up(*node))
             .collect();
-        by_age.sort_by_key(|node| self.machines[*node].erased_until);
-        for node in by_age {
+        by_disk_age.sort_by_key(|node| self.machines[*node].erased_until);
+        for node in by_disk_age {
             if self.may_lose_one() {
                 let restart_in = Duration::from_millis(100) + self.random.millis_below(800);
                 self.lose_disk(node, restart_in);
--- a/crates/linenthread-simulation/src/system/ingress.rs
+++ b/crates/linenthread-simulation/src/system/ingress.rs
@@ -28,7 +28,7 @@
         );
         self.check_grants();
         self.count_requests(index);
-        self.leave_useless_session(index);
+        self.close_unusable_session(index);
         let now = self.now();
         let ingress = &mut self.ingress.nodes[index];
         if let Some(session) = ingress.session {
@@ -41,7 +41,7 @@
         }
     }
 
-    fn leave_useless_session(&mut self, index: usize) {
+    fn close_unusable_session(&mut self, index: usize) {
         let now = self.now();
         let ingress = &self.ingress.nodes[index];
         let Some(session) = ingress.session else {
--- a/crates/linenthread-simulation/src/system/loss_budget.rs
+++ b/crates/linenthread-simulation/src/system/loss_budget.rs
@@ -31,13 +31,13 @@
 
 impl World {
     /// Counts a machine as lost until [`CATCH_UP_TIME`] after `back`, the time at which it is back.
-    pub(super) fn count_lost(&mut self, node: usize, back: Instant) {
+    pub(super) fn mark_lost(&mut self, node: usize, back: Instant) {
         let machine = &mut self.machines[node];
         machine.lost_until = machine.lost_until.max(back + CATCH_UP_TIME);
     }
 
     /// Returns the number of machines that count as lost now.
-    pub(super) fn lost(&self) -> usize {
+    pub(super) fn lost_machines(&self) -> usize {
         let now = self.now();
         let is_down = |machine: &Machine| !machine.decommissioned && !machine.is_running(now);
         self.machines
@@ -56,7 +56,7 @@
             .max()
             .unwrap_or(0);
         let tolerated = max_voters.saturating_sub(1) / 2;
-        self.lost() < self.max_lost.min(tolerated)
+        self.lost_machines() < self.max_lost.min(tolerated)
     }
 
     /// Returns the number of machines that are down or have not recovered from the loss of their disk.
@@ -102,7 +102,7 @@
     /// becomes free. A standby is possible only with an odd number of voters that tolerates as many losses as the
     /// budget permits.
     pub(super) fn all_vote_but_one_standby(&self, voters: usize, machines: usize) -> bool {
-        let bears_budget = !voters.is_multiple_of(2) && voters > 2 * self.max_lost;
-        voters == machines || voters + 1 == machines && bears_budget
+        let tolerates_budget = !voters.is_multiple_of(2) && voters > 2 * self.max_lost;
+        voters == machines || voters + 1 == machines && tolerates_budget
     }
 }
--- a/crates/linenthread-simulation/src/system/network.rs
+++ b/crates/linenthread-simulation/src/system/network.rs
@@ -12,7 +12,7 @@
 use super::random::Random;
 
 /// One message in this many is slow while faults are injected.
-const SLOW_MESSAGES: u64 = 50;
+const SLOW_MESSAGE_ONE_IN: u64 = 50;
 /// Delay until both ends are notified that a hanging connection was reset.
 const RESET_DELAY: Duration = Duration::from_millis(1);
 
@@ -183,7 +183,7 @@
 
     /// Draws the delay of a message.
     pub(super) fn delay(&self, random: &mut Random) -> Duration {
-        if random.one_in(SLOW_MESSAGES) && self.has_slow_messages {
+        if random.one_in(SLOW_MESSAGE_ONE_IN) && self.has_slow_messages {
             Duration::from_millis(30) + random.millis_below(300)
         } else {
             Duration::from_millis(1) + random.millis_below(3)
--- a/crates/linenthread-simulation/src/system/operators.rs
+++ b/crates/linenthread-simulation/src/system/operators.rs
@@ -10,11 +10,11 @@
 use super::world::World;
 
 /// Numbers of later committed changes after which a change is sent again; one is drawn for each retry.
-const RETRY_DISTANCES: [usize; 4] = [1, 10, 70, 300];
+const RETRY_AFTER_CHANGES: [usize; 4] = [1, 10, 70, 300];
 /// Time for which an operator waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Distance from the newest revision to one that no operator uses yet.
-const UNUSED_REVISION: u64 = 1_000;
+const UNUSED_REVISION_DISTANCE: u64 = 1_000;
 
 // --- operators ---
 
@@ -27,7 +27,7 @@
             Duration::from_millis(150) + self.random.millis_below(700)
         };
         self.push_in(wait, Event::OperatorStep { operator });
-        let node = self.any_machine();
+        let node = self.random_machine();
         let in_flight = self.operators[operator].in_flight;
         if in_flight.is_some_and(|call| now < call.sent_at + RESPONSE_TIMEOUT) {
             return;
@@ -41,13 +41,13 @@
         }
         let one_read_in = if self.is_fast() { 20 } else { 3 };
         if self.operators[operator].change.is_none() && self.random.one_in(one_read_in) {
-            self.send_operators_read(node, operator);
+            self.send_operator_read(node, operator);
         } else {
-            self.send_operators_change(node, operator);
+            self.send_operator_change(node, operator);
         }
     }
 
-    fn send_operators_read(&mut self, node: usize, operator: usize) {
+    fn send_operator_read(&mut self, node: usize, operator: usize) {
         let now = self.now();
         if let Some(call) = self.send_read(node, operator) {
             self.operators[operator].on_sent(call, now);
@@ -55,7 +55,7 @@
         }
     }
 
-    fn send_operators_change(&mut self, node: usize, operator: usize) {
+    fn send_operator_change(&mut self, node: usize, operator: usize) {
         let now = self.now();
         let change = match self.operators[operator].change.clone() {
             Some(change) => change,
@@ -108,8 +108,8 @@
             Duration::from_millis(400) + self.random.millis_below(1_200)
         };
         self.push_in(wait, Event::RetryCommittedChange);
-        let node = self.any_machine();
-        let later = RETRY_DISTANCES[self.random.index(RETRY_DISTANCES.len())];
+        let node = self.random_machine();
+        let later = RETRY_AFTER_CHANGES[self.random.index(RETRY_AFTER_CHANGES.len())];
         if self.is_running(node) {
             self.retry_change(node, later);
         }
@@ -141,7 +141,7 @@
     pub(super) fn retry_all_changes(&mut self) {
         let first = self.history.changes.len().saturating_sub(1);
         for node in 0..self.machines.len() {
-            for later in RETRY_DISTANCES.into_iter().chain([0, first]) {
+            for later in RETRY_AFTER_CHANGES.into_iter().chain([0, first]) {
                 if self.is_running(node) {
                     self.retry_change(node, later);
                 }
@@ -160,7 +160,7 @@
             // one. It must not give a definite response without a quorum.
             let stale = Order {
                 base: newest.base,
-                revision: Revision::new(newest.revision.get() + UNUSED_REVISION),
+                revision: Revision::new(newest.revision.get() + UNUSED_REVISION_DISTANCE),
                 document: b"{}".to_vec(),
             };
             let request = Request::Rival {
@@ -184,7 +184,7 @@
     pub(super) fn step_replica(&mut self) {
         let wait = Duration::from_millis(40) + self.random.millis_below(100);
         self.push_in(wait, Event::ReplicaHeartbeat);
-        let node = self.any_machine();
+        let node = self.random_machine();
         if self.is_running(node) {
             self.send_replica_heartbeat(node);
         }
--- a/crates/linenthread-simulation/src/system/plan.rs
+++ b/crates/linenthread-simulation/src/system/plan.rs
@@ -5,13 +5,13 @@
 use super::random::Random;
 
 /// Duration of fault injection in an ordinary schedule.
-const ORDINARY: Duration = Duration::from_millis(40_000);
+const ORDINARY_LENGTH: Duration = Duration::from_millis(40_000);
 /// Duration of fault injection in a long schedule; the maximum for every schedule.
-pub(super) const LONGEST: Duration = Duration::from_millis(150_000);
+pub(super) const MAX_LENGTH: Duration = Duration::from_millis(150_000);
 /// One schedule in this many is long.
-const LONG_SCHEDULES: u64 = 12;
-/// One schedule in this many has many changes, and lasts until they are done or for [`LONGEST`].
-const FAST_SCHEDULES: u64 = 25;
+const LONG_SCHEDULE_ONE_IN: u64 = 12;
+/// One schedule in this many has many changes, and lasts until they are done or for [`MAX_LENGTH`].
+const FAST_SCHEDULE_ONE_IN: u64 = 25;
 /// Minimum number of changes in such a schedule.
 const FAST_MIN_CHANGES: usize = 500;
 /// Maximum number of changes in such a schedule beyond [`FAST_MIN_CHANGES`].
@@ -45,7 +45,7 @@
             only_replacements: false,
             fault_gap_ms: FAULT_GAPS_MS[1],
             sync_duration: Duration::from_millis(2),
-            length: ORDINARY,
+            length: ORDINARY_LENGTH,
         }
     }
 }
@@ -62,7 +62,7 @@
     /// Draws the remaining parameters after the nodes were added; `changes` overrides the drawn number of changes.
     pub(super) fn draw(&mut self, random: &mut Random, changes: Option<usize>) {
         let drawn = random
-            .one_in(FAST_SCHEDULES)
+            .one_in(FAST_SCHEDULE_ONE_IN)
             .then(|| FAST_MIN_CHANGES + random.index(FAST_EXTRA_CHANGES + 1));
         self.changes = changes.or(drawn);
         self.revisions_collide = random.one_in(3);
@@ -73,11 +73,11 @@
             FAULT_GAPS_MS
         };
         self.fault_gap_ms = gaps[random.index(gaps.len())];
-        let is_long = random.one_in(LONG_SCHEDULES);
+        let is_long = random.one_in(LONG_SCHEDULE_ONE_IN);
         self.length = match (is_long, self.only_replacements) {
-            (true, _) => LONGEST,
-            (false, true) => 2 * ORDINARY,
-            (false, false) => ORDINARY,
+            (true, _) => MAX_LENGTH,
+            (false, true) => 2 * ORDINARY_LENGTH,
+            (false, false) => ORDINARY_LENGTH,
         };
     }
 }
--- a/crates/linenthread-simulation/src/system/platform.rs
+++ b/crates/linenthread-simulation/src/system/platform.rs
@@ -34,7 +34,7 @@
 pub(super) struct Platform {
     behaviour: Behaviour,
     /// End of the current fault.
-    trouble_until: Instant,
+    fault_until: Instant,
     /// Machines whose link to the platform is cut, with the end of the fault.
     unreachable_until: BTreeMap<usize, Instant>,
     highest_fence: Epoch,
@@ -54,7 +54,7 @@
     pub(super) fn new() -> Platform {
         Platform {
             behaviour: Behaviour::Healthy,
-            trouble_until: Instant::START,
+            fault_until: Instant::START,
             unreachable_until: BTreeMap::new(),
             highest_fence: Epoch::NONE,
             senders: BTreeMap::new(),
@@ -70,11 +70,11 @@
     /// Starts a fault that lasts until the given time.
     pub(super) fn set_behaviour(&mut self, behaviour: Behaviour, until: Instant) {
         self.behaviour = behaviour;
-        self.trouble_until = until;
+        self.fault_until = until;
     }
 
     pub(super) fn behaviour(&self, now: Instant) -> Behaviour {
-        if now < self.trouble_until {
+        if now < self.fault_until {
             self.behaviour
         } else {
             Behaviour::Healthy
@@ -102,21 +102,21 @@
     }
 
     /// Reports whether the platform responds normally and every machine can reach it.
-    pub(super) fn is_sound(&self, now: Instant) -> bool {
+    pub(super) fn is_healthy(&self, now: Instant) -> bool {
         let is_cut = self.unreachable_until.values().any(|until| *until > now);
         self.behaviour(now) == Behaviour::Healthy && !is_cut
     }
 
     /// Ends all faults of the platform and of links to it.
     pub(super) fn heal(&mut self) {
-        self.trouble_until = Instant::START;
+        self.fault_until = Instant::START;
         self.unreachable_until.clear();
     }
 
     // --- calls ---
 
     /// Reports whether the platform has received a higher fence than this one.
-    pub(super) fn has_seen_above(&self, fence: Epoch) -> bool {
+    pub(super) fn has_seen_fence_above(&self, fence: Epoch) -> bool {
         fence < self.highest_fence
     }
 
--- a/crates/linenthread-simulation/src/system/platform_calls.rs
+++ b/crates/linenthread-simulation/src/system/platform_calls.rs
@@ -18,24 +18,24 @@
 /// Maximum latency to the platform or back, in milliseconds.
 const MAX_LATENCY_MS: u64 = 5;
 /// Factor by which the response of a slow platform takes longer.
-const SLOWNESS: u32 = 50;
+const SLOW_RESPONSE_FACTOR: u32 = 50;
 /// One call in this many is delayed in transit.
-const HELD_UP_CALLS: u64 = 10;
+const DELAYED_CALL_ONE_IN: u64 = 10;
 /// Exclusive upper bound of a call's delay, in milliseconds; after that the kernel resets the connection.
-const HELD_UP_MS: u64 = 1_600;
+const CALL_DELAY_RANGE_MS: u64 = 1_600;
 /// One write in this many that a pause delays had its lease checked before the pause.
-const CHECKED_WRITES: u64 = 3;
+const CHECK_BEFORE_PAUSE_ONE_IN: u64 = 3;
 /// For one call in this many the caller is lost.
-const CALLER_LOSSES: u64 = 8;
+const CALLER_LOSS_ONE_IN: u64 = 8;
 /// Exclusive upper bound of the time from the start of the call to such a loss, in milliseconds.
-const CALLER_LOSS_WITHIN_MS: u64 = 20;
+const CALLER_LOSS_RANGE_MS: u64 = 20;
 
 /// A machine that has taken over usage reporting is asked to shut down after its first call, in one case in this many.
-const SUCCESSOR_RESTARTS: u64 = 2;
+const SUCCESSOR_RESTART_ONE_IN: u64 = 2;
 /// Exclusive upper bound of the time from the call to the shutdown, in milliseconds.
-const SUCCESSOR_RESTART_WITHIN_MS: u64 = 400;
+const SUCCESSOR_RESTART_RANGE_MS: u64 = 400;
 /// Interval at which a paused process is checked again.
-const PAUSE_POLL: Duration = Duration::from_millis(100);
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// State of the check that a process makes before it writes a call: that its lease has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     pub(super) call: PlatformCall,
     pub(super) written_at: Instant,
     /// Whether the call is delayed in transit; it is lost if its process ends meanwhile, which resets the connection.
-    pub(super) is_held_up: bool,
+    pub(super) is_delayed: bool,
 }
 
 impl World {
@@ -110,7 +110,7 @@
                 call,
                 lease_check,
             };
-            self.push_in(PAUSE_POLL, event);
+            self.push_in(PAUSE_POLL_INTERVAL, event);
             return;
         }
         let is_late = self.machine_clock(node) >= call.not_after;
@@ -125,7 +125,7 @@
 
     /// Draws whether a process was paused before or after its check of the lease.
     fn draw_paused_check(&mut self) -> LeaseCheck {
-        if self.usage.random.one_in(CHECKED_WRITES) {
+        if self.usage.random.one_in(CHECK_BEFORE_PAUSE_ONE_IN) {
             LeaseCheck::Passed
         } else {
             LeaseCheck::DueAfterPause
@@ -142,13 +142,13 @@
         let is_silent = self.usage.platform.behaviour(now) == Behaviour::Silent;
         let is_lost = is_silent && self.usage.random.one_in(2);
         if is_lost || !self.usage.platform.is_reachable(node, now) {
-            let given_up_at = now + RESPONSE_TIMEOUT;
-            self.end_call(given_up_at, caller, &call, PlatformOutcome::Unknown);
+            let timed_out_at = now + RESPONSE_TIMEOUT;
+            self.end_call(timed_out_at, caller, &call, PlatformOutcome::Unknown);
             return;
         }
-        let is_held_up = self.usage.random.one_in(HELD_UP_CALLS);
-        let latency = if is_held_up {
-            self.usage.random.millis_below(HELD_UP_MS)
+        let is_delayed = self.usage.random.one_in(DELAYED_CALL_ONE_IN);
+        let latency = if is_delayed {
+            self.usage.random.millis_below(CALL_DELAY_RANGE_MS)
         } else {
             self.platform_latency()
         };
@@ -156,7 +156,7 @@
             caller,
             call,
             written_at: now,
-            is_held_up,
+            is_delayed,
         };
         self.push_in(latency, Event::ReceivePlatformCall(Box::new(written)));
     }
@@ -168,12 +168,12 @@
         let NodeIndex::Control(node) = caller.node else {
             return;
         };
-        if written.is_held_up && self.running_control(caller).is_none() {
+        if written.is_delayed && self.running_control(caller).is_none() {
             return;
         }
         let behaviour = self.usage.platform.behaviour(now);
         let latency = self.platform_latency();
-        let given_up_at = written.written_at + RESPONSE_TIMEOUT;
+        let timed_out_at = written.written_at + RESPONSE_TIMEOUT;
         match behaviour {
             Behaviour::Busy => {
                 self.end_call(now + latency, caller, call, PlatformOutcome::Busy);
@@ -185,26 +185,26 @@
             }
             _ => {}
         }
-        let outcome = self.judge_call(caller, call);
+        let outcome = self.accept_or_refuse(caller, call);
         let is_reachable = self.usage.platform.is_reachable(node, now);
         let (at, outcome) = match behaviour {
-            Behaviour::Silent => (given_up_at, PlatformOutcome::Unknown),
-            _ if !is_reachable => (given_up_at, PlatformOutcome::Unknown),
+            Behaviour::Silent => (timed_out_at, PlatformOutcome::Unknown),
+            _ if !is_reachable => (timed_out_at, PlatformOutcome::Unknown),
             Behaviour::Reset => (now + latency, PlatformOutcome::Unknown),
-            Behaviour::Slow => (now + latency * SLOWNESS, outcome),
+            Behaviour::Slow => (now + latency * SLOW_RESPONSE_FACTOR, outcome),
             Behaviour::Healthy | Behaviour::Busy => (now + latency, outcome),
         };
-        if at < given_up_at {
+        if at < timed_out_at {
             self.end_call(at, caller, call, outcome);
         } else {
-            self.end_call(given_up_at, caller, call, PlatformOutcome::Unknown);
+            self.end_call(timed_out_at, caller, call, PlatformOutcome::Unknown);
         }
     }
 
     /// Accepts a call, or refuses it if the platform has seen a higher fence.
-    fn judge_call(&mut self, caller: Process, call: &PlatformCall) -> PlatformOutcome {
+    fn accept_or_refuse(&mut self, caller: Process, call: &PlatformCall) -> PlatformOutcome {
         let now = self.now();
-        if self.usage.platform.has_seen_above(call.fence) {
+        if self.usage.platform.has_seen_fence_above(call.fence) {
             self.report.coverage.usage.refused_calls += 1;
             return PlatformOutcome::FenceTooLow;
         }
@@ -216,7 +216,7 @@
 
     /// Postpones the outcome of a call for a paused process.
     pub(super) fn postpone_outcome(&mut self, caller: Process, outcome: Delivery) {
-        let at = self.now() + PAUSE_POLL;
+        let at = self.now() + PAUSE_POLL_INTERVAL;
         self.queue.deliver_at(at, caller, outcome);
     }
 
@@ -255,7 +255,7 @@
         if let Some(loss) = self.usage.caller_loss.take()
             && previous != Some(caller)
         {
-            self.record_succession(loss);
+            self.record_caller_failover(loss);
             self.draw_successor_restart(caller);
         }
     }
@@ -264,11 +264,11 @@
     /// machine that was lost before, if that is running again.
     fn draw_successor_restart(&mut self, caller: Process) {
         let may_restart = !self.is_healed() && !self.plan.only_replacements;
-        if !may_restart || !self.usage.random.one_in(SUCCESSOR_RESTARTS) {
+        if !may_restart || !self.usage.random.one_in(SUCCESSOR_RESTART_ONE_IN) {
             return;
         }
         if let Some(node) = self.running_control(caller) {
-            let delay = self.usage.random.millis_below(SUCCESSOR_RESTART_WITHIN_MS);
+            let delay = self.usage.random.millis_below(SUCCESSOR_RESTART_RANGE_MS);
             self.push_in(delay, Event::RestartSuccessor { node });
         }
     }
@@ -276,20 +276,21 @@
     /// May schedule the loss of the caller, before or after the call is written.
     fn draw_caller_loss(&mut self, node: usize) {
         let may_lose = !self.is_healed() && !self.plan.only_replacements;
-        if may_lose && self.usage.random.one_in(CALLER_LOSSES) {
-            let delay = self.usage.random.millis_below(CALLER_LOSS_WITHIN_MS);
+        if may_lose && self.usage.random.one_in(CALLER_LOSS_ONE_IN) {
+            let delay = self.usage.random.millis_below(CALLER_LOSS_RANGE_MS);
             self.push_in(delay, Event::LoseCaller { node });
         }
     }
 
-    fn record_succession(&mut self, loss: CallerLoss) {
+    fn record_caller_failover(&mut self, loss: CallerLoss) {
         let now = self.now();
         let time = whole_millis(now.since(loss.at));
-        let is_undisturbed = self.usage.faults == loss.faults && self.usage.platform.is_sound(now);
+        let without_faults =
+            self.usage.faults == loss.faults && self.usage.platform.is_healthy(now);
         let figures = &mut self.report.coverage.usage;
-        figures.succession_ms.push(time);
-        if is_undisturbed {
-            figures.undisturbed_succession_ms.push(time);
+        figures.caller_failover_ms.push(time);
+        if without_faults {
+            figures.caller_failover_without_faults_ms.push(time);
         }
     }
 
--- a/crates/linenthread-simulation/src/system/recovery.rs
+++ b/crates/linenthread-simulation/src/system/recovery.rs
@@ -18,7 +18,7 @@
         self.healed_at = Some(now);
         self.network.heal(&mut self.queue);
         self.usage.platform.heal();
-        self.disturb_usage();
+        self.record_usage_fault();
         for node in 0..self.machines.len() {
             self.repair_disk(node);
             self.machines[node].paused_until = Instant::START;
@@ -57,7 +57,7 @@
 
     /// Loses the disk of one more machine or restarts its process, after all machines have had time to recover.
     pub(super) fn restart_one(&mut self) {
-        let node = self.any_machine();
+        let node = self.random_machine();
         if !self.is_up(node) {
             return;
         }
--- a/crates/linenthread-simulation/src/system/replicas.rs
+++ b/crates/linenthread-simulation/src/system/replicas.rs
@@ -9,13 +9,13 @@
 use super::event::START;
 use super::random::Random;
 
-const REPLICAS: u64 = 12;
+const REPLICA_COUNT: u64 = 12;
 /// Number of backends, and of zones.
-const GROUPS: u64 = 3;
+const GROUP_COUNT: u64 = 3;
 /// One heartbeat in this many starts to drain its replica.
-const DRAINS: u64 = 10;
+const DRAIN_ONE_IN: u64 = 10;
 /// Time after which a replica is replaced by one with a new id.
-const LIFETIME: Duration = Duration::from_millis(9_000);
+const REPLICA_LIFETIME: Duration = Duration::from_millis(9_000);
 
 /// A heartbeat of a replica.
 pub(super) struct DrawnHeartbeat {
@@ -33,9 +33,9 @@
 impl Replicas {
     /// Draws a replica and returns its next heartbeat.
     pub(super) fn draw_heartbeat(&mut self, random: &mut Random, now: Instant) -> DrawnHeartbeat {
-        let replica = random.below(REPLICAS);
-        let starts_to_drain = random.one_in(DRAINS);
-        let generation = whole_millis(now.since(START)) / whole_millis(LIFETIME);
+        let replica = random.below(REPLICA_COUNT);
+        let starts_to_drain = random.one_in(DRAIN_ONE_IN);
+        let generation = whole_millis(now.since(START)) / whole_millis(REPLICA_LIFETIME);
         let replica_id = format!("i-{replica}-{generation}");
         // A draining replica never becomes available again.
         if starts_to_drain {
@@ -45,7 +45,7 @@
         let count = self.heartbeats.entry(replica_id.clone()).or_default();
         *count += 1;
         let phase = if is_draining { "draining" } else { "available" };
-        let group = replica % GROUPS;
+        let group = replica % GROUP_COUNT;
         let text = format!(
             "{{\"backend\":\"b{group}\",\"address\":\"10.9.0.{replica}:1\",\"zone\":\"z{group}\",\
              \"phase\":\"{phase}\",\"call_count\":{count}}}"
--- a/crates/linenthread-simulation/src/system/responses.rs
+++ b/crates/linenthread-simulation/src/system/responses.rs
@@ -10,9 +10,9 @@
 use super::world::World;
 
 /// A disk is lost after one acknowledgement in this many.
-const LOSS_AFTER_ACKNOWLEDGEMENTS: u64 = 12;
+const LOSS_AFTER_ACKNOWLEDGEMENT_ONE_IN: u64 = 12;
 /// The same while operators send changes in quick succession.
-const LOSS_AFTER_FAST_ACKNOWLEDGEMENTS: u64 = 120;
+const LOSS_AFTER_FAST_ACKNOWLEDGEMENT_ONE_IN: u64 = 120;
 
 impl World {
     /// Handles the response to a call; ignored if nobody waits for it any more.
@@ -105,9 +105,9 @@
             return;
         }
         let one_in = if self.is_fast() {
-            LOSS_AFTER_FAST_ACKNOWLEDGEMENTS
+            LOSS_AFTER_FAST_ACKNOWLEDGEMENT_ONE_IN
         } else {
-            LOSS_AFTER_ACKNOWLEDGEMENTS
+            LOSS_AFTER_ACKNOWLEDGEMENT_ONE_IN
         };
         if self.random.one_in(one_in) {
             let delay = Duration::from_millis(1) + self.random.millis_below(3);
--- a/crates/linenthread-simulation/src/system/shutdown.rs
+++ b/crates/linenthread-simulation/src/system/shutdown.rs
@@ -49,7 +49,7 @@
         else {
             return;
         };
-        let is_permitted = self.may_end(node);
+        let is_permitted = self.may_exit(node);
         let decommissions = matches!(shutdown.then, AfterShutdown::Decommission { .. });
         let waits = self.now() < shutdown.deadline || decommissions && !self.may_lose_one();
         if !is_permitted && waits {
@@ -63,7 +63,7 @@
             AfterShutdown::Decommission { successor } => {
                 self.remove_machine(node, successor);
                 if !is_permitted {
-                    self.count_lost(node, self.now());
+                    self.mark_lost(node, self.now());
                 }
             }
         }
@@ -73,7 +73,7 @@
     }
 
     /// Reports whether the control node permits its process to exit.
-    fn may_end(&self, node: usize) -> bool {
+    fn may_exit(&self, node: usize) -> bool {
         let clock = self.machine_clock(node);
         let control = self.machines[node].control.as_ref();
         self.is_running(node) && control.is_some_and(|control| control.may_exit(clock))
--- a/crates/linenthread-simulation/src/system/simulation.rs
+++ b/crates/linenthread-simulation/src/system/simulation.rs
@@ -17,7 +17,7 @@
 use crate::run_summary::RunSummary;
 
 /// Duration of a schedule after the faults.
-const RECOVERY: Duration = Duration::from_millis(35_000);
+const RECOVERY_LENGTH: Duration = Duration::from_millis(35_000);
 /// Time from the end of the faults until one machine is restarted.
 const RESTART_ONE_AFTER: Duration = Duration::from_millis(11_000);
 /// Time from the end of the faults until the clocks of fewer than half of the machines step, which must not affect any
@@ -28,13 +28,13 @@
 /// Minimum delay of the closing loss after the other faults.
 const MIN_CLOSING_DELAY: Duration = Duration::from_millis(5);
 /// Exclusive upper bound of the delay beyond [`MIN_CLOSING_DELAY`], in milliseconds.
-const CLOSING_DELAY_MS: u64 = 395;
+const CLOSING_DELAY_RANGE_MS: u64 = 395;
 /// Number of operators that send changes concurrently.
-const OPERATORS: usize = 2;
+const OPERATOR_COUNT: usize = 2;
 /// Interval at which the timers of control nodes are checked.
-const TICK: Duration = Duration::from_millis(10);
+const TIMER_INTERVAL: Duration = Duration::from_millis(10);
 /// Step by which a fast schedule is extended until it has had its number of changes.
-const EXTENSION: Duration = Duration::from_millis(1_000);
+const EXTENSION_STEP: Duration = Duration::from_millis(1_000);
 
 /// Options of the system simulation.
 #[derive(Clone, Debug)]
@@ -109,17 +109,17 @@
     let started_at = world.now();
     world.plan.draw(&mut world.random, options.changes);
     world.run_until(started_at + world.plan.length);
-    while world.is_fast() && world.now() < started_at + plan::LONGEST {
-        world.run_until(world.now() + EXTENSION);
+    while world.is_fast() && world.now() < started_at + plan::MAX_LENGTH {
+        world.run_until(world.now() + EXTENSION_STEP);
     }
-    world.close_with_loss();
+    world.end_with_loss();
     world.heal();
     let acknowledged_before = world.report.coverage.acknowledgements;
     world.plan.changes = None;
     world.push_in(RESTART_ONE_AFTER, Event::RestartOneAfterRecovery);
     world.push_in(RETRY_ALL_AFTER, Event::RetryAllChanges);
     world.push_in(STEP_CLOCKS_AFTER, Event::StepClocksAfterRecovery);
-    world.run_until(world.now() + RECOVERY);
+    world.run_until(world.now() + RECOVERY_LENGTH);
     world.report.coverage.max_changes = world.history.changes.len();
     world.check_end(acknowledged_before);
     world.measure_reports();
@@ -145,7 +145,7 @@
             let delay = Duration::from_millis(500) + self.random.millis_below(500);
             self.push_in(delay, Event::IngressHeartbeat { ingress });
         }
-        for operator in 0..OPERATORS {
+        for operator in 0..OPERATOR_COUNT {
             self.operators.push(Operator::default());
             let delay = Duration::from_millis(1_500) + self.random.millis_below(2_000);
             self.push_in(delay, Event::OperatorStep { operator });
@@ -164,11 +164,11 @@
 
     /// Ends the faults with a loss in half of the schedules. The random delay places it soon after a change, since
     /// operators send changes all the time.
-    fn close_with_loss(&mut self) {
+    fn end_with_loss(&mut self) {
         if !self.random.one_in(2) {
             return;
         }
-        let delay = MIN_CLOSING_DELAY + self.random.millis_below(CLOSING_DELAY_MS);
+        let delay = MIN_CLOSING_DELAY + self.random.millis_below(CLOSING_DELAY_RANGE_MS);
         self.run_until(self.now() + delay);
         if self.inject_closing_loss() {
             let down = Duration::from_millis(200) + self.random.millis_below(1_500);
@@ -178,7 +178,7 @@
 
     fn run_until(&mut self, end: Instant) {
         while self.now() < end {
-            let tick = self.now() + TICK;
+            let tick = self.now() + TIMER_INTERVAL;
             if self.queue.next_at().is_none_or(|next| next > tick) {
                 self.queue.advance_to(tick.min(end));
                 self.run_timers();
--- a/crates/linenthread-simulation/src/system/time_of_day.rs
+++ b/crates/linenthread-simulation/src/system/time_of_day.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the simulated time of a true time of day; [`START`] for times before the schedule.
-pub(super) fn moment_of(time: WallTime) -> Instant {
+pub(super) fn simulated_time_of(time: WallTime) -> Instant {
     START + Duration::from_millis(time.as_millis().saturating_sub(TRUE_START_MS))
 }
 
--- a/crates/linenthread-simulation/src/system/usage.rs
+++ b/crates/linenthread-simulation/src/system/usage.rs
@@ -10,7 +10,7 @@
 use super::event::START;
 use super::platform::{LEASE, Platform};
 use super::random::Random;
-use super::time_of_day::{moment_of, true_time};
+use super::time_of_day::{simulated_time_of, true_time};
 
 /// Time from the end of a window until its report is due at the platform: the users' `usage_delay_s`.
 pub(super) const REPORT_DELAY: Duration = Duration::from_millis(10_000);
@@ -45,7 +45,7 @@
     /// Number of requests of each tenant that replicas actually began, by window of true time.
     truth: BTreeMap<WindowNumber, BTreeMap<String, u64>>,
     /// Last time at which a fault was injected or in effect.
-    pub(super) disturbed_at: Instant,
+    pub(super) last_fault_at: Instant,
     /// Oldest window whose report is not due yet.
     pub(super) next_due: WindowNumber,
     pub(super) caller_loss: Option<CallerLoss>,
@@ -64,7 +64,7 @@
             platform: Platform::new(),
             tenants: TENANTS.into_iter().map(Rc::from).collect(),
             truth: BTreeMap::new(),
-            disturbed_at: START,
+            last_fault_at: START,
             next_due: WindowNumber::of(true_time(START), window_length),
             caller_loss: None,
             faults: 0,
@@ -93,7 +93,7 @@
 
     /// Returns the end of a window.
     pub(super) fn end_of(&self, window: WindowNumber) -> Instant {
-        moment_of(window.end(self.window_length))
+        simulated_time_of(window.end(self.window_length))
     }
 
     /// Returns the time at which the report of a window is due at the platform.
--- a/crates/linenthread-simulation/src/system/usage_figures.rs
+++ b/crates/linenthread-simulation/src/system/usage_figures.rs
@@ -6,27 +6,28 @@
     pub(super) accepted_calls: usize,
     pub(super) refused_calls: usize,
     /// Times from the loss of the last caller to the next call of another process, in milliseconds.
-    pub(super) succession_ms: Vec<u64>,
+    pub(super) caller_failover_ms: Vec<u64>,
     /// The times among these with no other fault in between and a healthy platform.
-    pub(super) undisturbed_succession_ms: Vec<u64>,
+    pub(super) caller_failover_without_faults_ms: Vec<u64>,
     /// Times from the end of each window to the acceptance of its report, in milliseconds.
     pub(super) delays_ms: Vec<u64>,
     /// Relative error of each report, for the tenant with the largest error.
     pub(super) errors: Vec<f64>,
     /// Errors of reports with no fault from shortly before their window until they were due.
-    pub(super) calm_errors: Vec<f64>,
+    pub(super) errors_without_faults: Vec<f64>,
 }
 
 impl UsageFigures {
     pub(super) fn add(&mut self, other: &UsageFigures) {
         self.accepted_calls += other.accepted_calls;
         self.refused_calls += other.refused_calls;
-        self.succession_ms.extend(&other.succession_ms);
-        self.undisturbed_succession_ms
-            .extend(&other.undisturbed_succession_ms);
+        self.caller_failover_ms.extend(&other.caller_failover_ms);
+        self.caller_failover_without_faults_ms
+            .extend(&other.caller_failover_without_faults_ms);
         self.delays_ms.extend(&other.delays_ms);
         self.errors.extend(&other.errors);
-        self.calm_errors.extend(&other.calm_errors);
+        self.errors_without_faults
+            .extend(&other.errors_without_faults);
     }
 
     pub(super) fn print(&self) {
@@ -36,15 +37,18 @@
         );
         print_times(
             "loss of the last caller to the next call",
-            &self.succession_ms,
+            &self.caller_failover_ms,
         );
         print_times(
             "the same without another fault",
-            &self.undisturbed_succession_ms,
+            &self.caller_failover_without_faults_ms,
         );
         print_times("end of a window to its report", &self.delays_ms);
         print_errors("error of usage", &self.errors);
-        print_errors("error of usage in calm stretches", &self.calm_errors);
+        print_errors(
+            "error of usage in calm stretches",
+            &self.errors_without_faults,
+        );
     }
 }
 
--- a/crates/linenthread-simulation/src/system/usage_traffic.rs
+++ b/crates/linenthread-simulation/src/system/usage_traffic.rs
@@ -10,7 +10,7 @@
 use super::world::World;
 
 /// Interval between the times at which requests begin.
-const STEP: Duration = Duration::from_millis(10);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 /// Exclusive upper bounds of an ingress node's requests in one step, by tenant, in the order of the tenants.
 const REQUEST_BOUNDS: [u64; 2] = [5, 2];
 /// Interval at which the checker checks usage reports.
@@ -24,7 +24,7 @@
         let usage = &mut self.usage;
         while ingress.counted_until < now {
             let at = ingress.counted_until;
-            ingress.counted_until = at + STEP;
+            ingress.counted_until = at + REQUEST_INTERVAL;
             for (tenant, bound) in usage.tenants.clone().iter().zip(REQUEST_BOUNDS) {
                 let requests = usage.random.below(bound);
                 if requests > 0 {
@@ -72,28 +72,28 @@
     /// Records whether a fault is in effect, and checks the reports that have become due.
     pub(super) fn step_usage(&mut self) {
         self.push_in(CHECK_INTERVAL, Event::CheckUsage);
-        if !self.is_healed() && self.is_usage_disturbed() {
-            self.disturb_usage();
+        if !self.is_healed() && self.has_usage_fault() {
+            self.record_usage_fault();
         }
         self.count_all_requests();
         self.check_due_reports();
     }
 
     /// Records that a fault is injected or in effect.
-    pub(super) fn disturb_usage(&mut self) {
-        self.usage.disturbed_at = self.now();
+    pub(super) fn record_usage_fault(&mut self) {
+        self.usage.last_fault_at = self.now();
     }
 
     /// Reports whether a fault of a machine, disk, link or the platform is in effect. Wrong clocks on fewer than half
     /// of the machines do not count, since windows must not follow them.
-    fn is_usage_disturbed(&self) -> bool {
+    fn has_usage_fault(&self) -> bool {
         let now = self.now();
         let has_slow_or_full_disk = self.machines.iter().any(|machine| {
             machine.disk.sync_duration != self.plan.sync_duration || machine.disk.is_full()
         });
         has_slow_or_full_disk
-            || self.lost() > 0
+            || self.lost_machines() > 0
             || self.network.has_partition(now)
-            || !self.usage.platform.is_sound(now)
+            || !self.usage.platform.is_healthy(now)
     }
 }
--- a/crates/linenthread-simulation/src/system/world.rs
+++ b/crates/linenthread-simulation/src/system/world.rs
@@ -122,7 +122,7 @@
         self.machines.len() - 1
     }
 
-    pub(super) fn any_machine(&mut self) -> usize {
+    pub(super) fn random_machine(&mut self) -> usize {
         self.random.index(self.machines.len())
     }
 
@@ -157,10 +157,10 @@
     }
 
     pub(super) fn count_fault(&mut self, kind: FaultKind) {
-        self.disturb_recovery();
+        self.record_fault_during_recovery();
         self.usage.faults += 1;
         if !self.is_healed() {
-            self.disturb_usage();
+            self.record_usage_fault();
         }
         self.report.count_fault(self.queue.now(), kind);
     }
--- a/crates/linenthread-simulation/tests/no_wall_clock.rs
+++ b/crates/linenthread-simulation/tests/no_wall_clock.rs
@@ -235,13 +235,13 @@
 
 /// `crate::Instant` is permitted only in the package that defines `Instant`, and clocks are recognized there as well.
 #[test]
-fn the_package_of_instant_names_it_by_its_short_path() {
-    let own = "use crate::Instant; fn tick(now: Instant) {}";
-    assert!(!reads_clock_beside_instant(own));
+fn crate_instant_is_permitted_only_in_the_defining_package() {
+    let crate_instant = "use crate::Instant; fn tick(now: Instant) {}";
+    assert!(!reads_clock_beside_instant(crate_instant));
     assert!(!reads_clock_beside_instant(
         "use crate::{Instant, whole_millis};"
     ));
-    assert!(reads_clock(own));
+    assert!(reads_clock(crate_instant));
     for source in [
         "use crate::Instant; use std::time::Instant as Clock;",
         "use crate::Instant; fn tick(now: quanta::Instant) {}",
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn the_daemon_reads_the_time_of_day_only_for_an_incarnation_its_log_and_usage_reports() {
+fn the_daemon_reads_the_time_of_day_only_for_incarnations_its_log_and_usage_reports() {
     let mut readers = 0;
     for path in sources("linenthread-node")
         .into_iter()
@@ -261,7 +261,7 @@
     {
         let reader = READERS.iter().find(|(reader, _)| path.ends_with(reader));
         let Some((_, reads)) = reader else {
-            panic!("{} reads it", path.display());
+            panic!("{} reads the time of day", path.display());
         };
         assert_eq!(text(&path).matches("SystemTime::now").count(), *reads);
         readers += 1;
@@ -270,8 +270,8 @@
 }
 
 #[test]
-fn the_clock_for_usage_reports_is_asked_once_a_turn_of_the_control_task() {
-    let mut asked = 0;
+fn only_the_control_task_reads_the_wall_clock_for_usage_reports_and_in_one_place() {
+    let mut readers = 0;
     for path in sources("linenthread-node") {
         let code = code(&text(&path));
         // Uses of the module by path or import.
@@ -281,15 +281,15 @@
             assert_eq!(code.matches("wall_clock::").count(), 1);
             assert!(code.contains("self.control.observe_wall_clock(now,wall_clock::now());"));
             assert_eq!(names, 3);
-            asked += 1;
+            readers += 1;
         } else if path.ends_with("main.rs") {
             assert!(code.contains("modwall_clock;"));
             assert_eq!(names, 1);
         } else {
-            assert_eq!(names, 0, "{} names it", path.display());
+            assert_eq!(names, 0, "{} names the module wall_clock", path.display());
         }
     }
-    assert_eq!(asked, 1);
+    assert_eq!(readers, 1);
 }
 
 /// Returns the sources of the daemon and the control plane whose code contains any of these names, as
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn only_usage_reports_know_the_time_of_day_and_its_windows() {
+fn only_sources_for_usage_reports_name_the_time_of_day_and_windows() {
     assert_eq!(sources_naming(&TIME_OF_DAY_NAMES), NAME_TIME_OF_DAY);
     assert_eq!(sources_naming(&WINDOW_NAMES), NAME_WINDOWS);
 }
@@ -349,7 +349,7 @@
 /// Guards against two incarnations that draw the same number and then vote for each other's proposals or leases, which
 /// are distinguished only by that number. They must reject sessions with each other, as if they were partitioned.
 #[test]
-fn two_incarnations_of_one_number_reject_each_other() {
+fn incarnations_with_the_same_number_reject_each_other() {
     let (mut one, mut other) = (node("one", 7), node("other", 7));
     let (mut hello, mut response) = (Vec::new(), Vec::new());
     one.on_session_opened(SessionId(1), &mut hello);
--- a/crates/linenthread-simulation/tests/system.rs
+++ b/crates/linenthread-simulation/tests/system.rs
@@ -3,7 +3,7 @@
 
 use std::process::Command;
 
-fn schedules(arguments: &[&str]) -> String {
+fn run_schedules(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_linenthread-simulation"))
         .args(["system", "--schedules", "4", "--seed", "3", "--summary"])
         .args(arguments)
@@ -13,7 +13,7 @@
 }
 
 /// Returns the number after `text` on the line of the summary that starts with it.
-fn counted(summary: &str, text: &str) -> Option<usize> {
+fn number_after(summary: &str, text: &str) -> Option<usize> {
     let rest = summary.lines().find_map(|line| line.strip_prefix(text))?;
     let number = rest.split(|c: char| !c.is_ascii_digit()).next()?;
     number.parse().ok()
@@ -22,7 +22,7 @@
 /// Guards against schedules that do not exercise usage reports.
 #[test]
 fn schedules_cover_usage_reports() {
-    let summary = schedules(&["--core", "5"]);
+    let summary = run_schedules(&["--core", "5"]);
     for text in [
         "usage: ",
         "loss of the last caller to the next call: ",
@@ -31,19 +31,19 @@
         "clocks stepped: ",
         "higher fence seen by the platform: ",
     ] {
-        let count = counted(&summary, text);
+        let count = number_after(&summary, text);
         assert!(count > Some(0), "{text}{count:?} in {summary}");
     }
 }
 
 #[test]
-fn schedules_do_not_depend_on_how_many_are_run_at_once() {
-    let one = schedules(&["--jobs", "1"]);
+fn output_does_not_depend_on_the_number_of_jobs() {
+    let one = run_schedules(&["--jobs", "1"]);
     assert!(
         one.lines()
             .last()
             .is_some_and(|line| line.starts_with("4 checked, ")),
         "{one}"
     );
-    assert_eq!(one, schedules(&["--jobs", "3"]));
+    assert_eq!(one, run_schedules(&["--jobs", "3"]));
 }
