--- a/crates/linenthread-simulation/src/system/checker/catch_up.rs
+++ b/crates/linenthread-simulation/src/system/checker/catch_up.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of messages until a machine has caught up.
 const MAX_MESSAGES: usize = 400;
-/// Maximum number of bytes until a machine has caught up, in addition to [`BYTES_PER_CHANGE`].
+/// Maximum number of bytes until a machine has caught up, in addition to [`BYTES_PER_CHANGE`] for each change.
 const MAX_BYTES: usize = 192 << 10;
 /// Maximum number of bytes stored for each committed change.
 pub(super) const BYTES_PER_CHANGE: usize = 48;
@@ -18,7 +18,8 @@
 const MAX_TIME: Duration = Duration::from_millis(6_000);
 
 impl World {
-    /// Checks [`Invariant::CatchesUp`] for a process that has caught up, if it was started after the faults.
+    /// Records the cost once a process has caught up, and checks [`Invariant::CatchesUp`] if it was started after the
+    /// faults.
     pub(super) fn check_catch_up(&mut self, node: usize, decided_number: ValueNumber) {
         let now = self.now();
         let machine = &mut self.machines[node];
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Checks [`Invariant::CatchesUp`] at the end of a schedule: no machine has been behind for longer than
-    /// [`MAX_TIME`].
+    /// Checks [`Invariant::CatchesUp`] at the end of a schedule: no machine is still behind after more than
+    /// [`MAX_TIME`] without faults.
     pub(super) fn check_all_caught_up(&mut self) {
         for node in 0..self.machines.len() {
             if let Some(target) = self.overdue_value(node) {
--- a/crates/linenthread-simulation/src/system/checker/convergence.rs
+++ b/crates/linenthread-simulation/src/system/checker/convergence.rs
@@ -12,7 +12,7 @@
 
 /// Maximum size of a log beyond its state, in bytes: the last records before compaction.
 const LOG_SLACK_BYTES: u64 = 64 << 10;
-/// Maximum size of a durable state, in bytes, in addition to [`BYTES_PER_CHANGE`].
+/// Maximum size of a durable state, in bytes, in addition to [`BYTES_PER_CHANGE`] for each change.
 const STATE_BYTES: usize = 64 << 10;
 /// Number of the last changes that may not have reached the ingress nodes yet.
 const CHANGES_IN_FLIGHT: usize = 3;
--- a/crates/linenthread-simulation/src/system/checker/quorum.rs
+++ b/crates/linenthread-simulation/src/system/checker/quorum.rs
@@ -12,7 +12,7 @@
 use super::super::invariant::Invariant;
 use super::super::world::World;
 
-/// Maximum time since the last exchange of messages with a majority for a node that confirms anything.
+/// A node that has not exchanged messages with a majority for longer than this must not confirm anything.
 pub(in super::super) const QUORUM_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Maximum time until an ingress node has a session with a usable control node again.
 const INGRESS_FAILOVER_TIME: Duration = Duration::from_millis(6_000);
--- a/crates/linenthread-simulation/src/system/disk.rs
+++ b/crates/linenthread-simulation/src/system/disk.rs
@@ -13,7 +13,7 @@
 
 use super::random::Random;
 
-/// Size of the log above which it is compacted, in bytes. The daemon's bound is far higher, so that compaction would
+/// Size of the log above which it is compacted, in bytes. The daemon's bound is far higher: with it, compaction would
 /// not be covered.
 pub(super) const COMPACT_ABOVE_BYTES: u64 = 48 << 10;
 /// Maximum number of queued records, as in the daemon; further ones are dropped, and the control node submits them
--- a/crates/linenthread-simulation/src/system/execution.rs
+++ b/crates/linenthread-simulation/src/system/execution.rs
@@ -16,7 +16,7 @@
 use super::machine::{CatchUp, NO_PROCESS, ProcessEnd};
 use super::world::World;
 
-/// Delay until a process is started again that could not open its disk because the disk was full.
+/// Delay until a process that could not open its full disk is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(500);
 /// Time until a connection to an unreachable machine fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
--- a/crates/linenthread-simulation/src/system/faults/second_losses.rs
+++ b/crates/linenthread-simulation/src/system/faults/second_losses.rs
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Injects a loss right after a change of the voters: of a disk within the budget, possibly with a power loss of
-    /// all others, or a crash.
+    /// Injects a loss right after a change of the voters: the loss of a disk within the budget, a power loss of all
+    /// other machines or both, or a crash.
     pub(in super::super) fn inject_second_loss(&mut self) {
         let node = self.random_machine();
         if self.is_healed() || !self.is_up(node) {
--- a/crates/linenthread-simulation/src/system/ingress_node.rs
+++ b/crates/linenthread-simulation/src/system/ingress_node.rs
@@ -42,7 +42,7 @@
     grants.retain(|grant| grant.until + RETRY_WINDOW > now);
 }
 
-/// Error: an ingress node received an older configuration than it has.
+/// Error for an ingress node that received an older configuration than it has.
 pub(super) struct OlderRevision {
     pub(super) revision: Revision,
 }
--- a/crates/linenthread-simulation/src/system/loss_budget.rs
+++ b/crates/linenthread-simulation/src/system/loss_budget.rs
@@ -7,9 +7,9 @@
 //!   [`CATCH_UP_TIME`] after that: by then it has stored what it had missed.
 //! - A machine whose disk is lost, or which is decommissioned, counts as lost until [`CATCH_UP_TIME`] after the start
 //!   of its successor.
-//! - A machine that is decommissioned by the deadline of its shutdown, before its control node permits it, may hold
-//!   data that no other machine has. It counts as lost for [`CATCH_UP_TIME`] from then on, and is removed only within
-//!   the budget.
+//! - A machine that is decommissioned at the deadline of its shutdown, without permission of its control node, may hold
+//!   data that no other machine has. It is removed only within the budget, and counts as lost for [`CATCH_UP_TIME`]
+//!   from then on.
 //! - Disks are lost only within the budget. Crashes and power losses that leave the disk, partitions, pauses and full
 //!   disks may affect any number of machines: they may delay the system, but no data may be lost and no invariant
 //!   violated.
--- a/crates/linenthread-simulation/src/system/plan.rs
+++ b/crates/linenthread-simulation/src/system/plan.rs
@@ -10,11 +10,12 @@
 pub(super) const MAX_LENGTH: Duration = Duration::from_millis(150_000);
 /// One schedule in this many is long.
 const LONG_SCHEDULE_ONE_IN: u64 = 12;
-/// One schedule in this many has many changes, and lasts until they are done or for [`MAX_LENGTH`].
+/// One schedule in this many is fast: operators send many changes in quick succession, and it lasts until they are
+/// done, up to [`MAX_LENGTH`].
 const FAST_SCHEDULE_ONE_IN: u64 = 25;
-/// Minimum number of changes in such a schedule.
+/// Minimum number of changes in a fast schedule.
 const FAST_MIN_CHANGES: usize = 500;
-/// Maximum number of changes in such a schedule beyond [`FAST_MIN_CHANGES`].
+/// Maximum number of changes in a fast schedule beyond [`FAST_MIN_CHANGES`].
 const FAST_EXTRA_CHANGES: usize = 1_500;
 /// Upper bounds of the gap between faults, in milliseconds; one is drawn for each schedule.
 const FAULT_GAPS_MS: [u64; 3] = [1_500, 4_000, 8_000];
--- a/crates/linenthread-simulation/src/system/platform_calls.rs
+++ b/crates/linenthread-simulation/src/system/platform_calls.rs
@@ -23,14 +23,14 @@
 const DELAYED_CALL_ONE_IN: u64 = 10;
 /// Exclusive upper bound of a call's delay, in milliseconds; after that the kernel resets the connection.
 const CALL_DELAY_RANGE_MS: u64 = 1_600;
-/// One write in this many that a pause delays had its lease checked before the pause.
+/// One write in this many of those that a pause delays had its lease checked before the pause.
 const CHECK_BEFORE_PAUSE_ONE_IN: u64 = 3;
 /// For one call in this many the caller is lost.
 const CALLER_LOSS_ONE_IN: u64 = 8;
 /// Exclusive upper bound of the time from the start of the call to such a loss, in milliseconds.
 const CALLER_LOSS_RANGE_MS: u64 = 20;
 
-/// A machine that has taken over usage reporting is asked to shut down after its first call, in one case in this many.
+/// One machine in this many of those that take over usage reporting is asked to shut down after its first call.
 const SUCCESSOR_RESTART_ONE_IN: u64 = 2;
 /// Exclusive upper bound of the time from the call to the shutdown, in milliseconds.
 const SUCCESSOR_RESTART_RANGE_MS: u64 = 400;
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Writes a call on an established connection, unless the lease has ended. A paused process continues when it
-    /// resumes.
+    /// Writes a call on an established connection, unless the check of the lease fails. A paused process continues when
+    /// it resumes.
     pub(super) fn write_platform_call(
         &mut self,
         caller: Process,
--- a/crates/linenthread-simulation/src/system/world.rs
+++ b/crates/linenthread-simulation/src/system/world.rs
@@ -99,7 +99,8 @@
         self.healed_at.is_some()
     }
 
-    /// Reports whether operators send changes in quick succession, because the schedule has not had its number of them.
+    /// Reports whether operators send changes in quick succession, which they do until the schedule has had its number
+    /// of changes.
     pub(super) fn is_fast(&self) -> bool {
         self.plan
             .changes
--- a/crates/linenthread-simulation/tests/no_wall_clock.rs
+++ b/crates/linenthread-simulation/tests/no_wall_clock.rs
@@ -17,8 +17,8 @@
 const TIME_OF_DAY: [&str; 2] = ["SystemTime", "UNIX_EPOCH"];
 /// Ways to read a clock under any imported name: calls, and functions passed as values.
 const READS: [&str; 3] = ["::now", "elapsed", "Instantas"];
-/// The only item of `std::time` that a state machine may name: it is not a point in time. The state machines use the
-/// `Instant` of `linenthread_time`, which cannot read a clock.
+/// The only item of `std::time` that a state machine may name: a duration is not a point in time. State machines use
+/// the `Instant` of `linenthread_time`, which cannot read a clock.
 const ALLOWED_OF_STD_TIME: [&str; 2] = ["::Duration", "::{Duration}"];
 /// Permitted paths of `Instant`, without whitespace.
 const ALLOWED_INSTANT: [&str; 2] = ["linenthread_time::Instant", "linenthread_time::{Instant"];
--- a/crates/linenthread-simulation/tests/system.rs
+++ b/crates/linenthread-simulation/tests/system.rs
@@ -1,5 +1,5 @@
-//! The simulation of the control plane gives the same output for the same seeds, however many schedules run in
-//! parallel.
+//! The simulation of the control plane prints the same output for the same seeds, however many schedules run in
+//! parallel, and covers usage reports.
 
 use std::process::Command;
 
