--- a/crates/linenthread-simulation/src/system/faults/mod.rs
+++ b/crates/linenthread-simulation/src/system/faults/mod.rs
@@ -18,7 +18,7 @@
 const MIN_GAP: Duration = Duration::from_millis(300);
 /// Exclusive upper bound of the random part of an ordinary pause, in milliseconds.
 const PAUSE_RANGE_MS: u64 = 7_300;
-/// The same for a long pause, which can outlast every lease and time-out.
+/// The same for a long pause, which can outlast every lease and timeout.
 const LONG_PAUSE_RANGE_MS: u64 = 25_000;
 
 /// A fault that can be injected.
--- a/crates/linenthread-simulation/src/system/platform_calls.rs
+++ b/crates/linenthread-simulation/src/system/platform_calls.rs
@@ -1,5 +1,5 @@
 //! Platform calls of control nodes, as the daemon's client makes them: it connects, writes the call if the lease
-//! permits, and waits for the response until a time-out.
+//! permits, and waits for the response until a timeout.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use super::usage::CallerLoss;
 use super::world::World;
 
-/// Time-out for establishing a connection.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time-out for the request and the response together.
+/// Timeout for the request and the response together.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Maximum latency to the platform or back, in milliseconds.
 const MAX_LATENCY_MS: u64 = 5;
