--- a/crates/linenthread-simulation/src/system/faults/mod.rs
+++ b/crates/linenthread-simulation/src/system/faults/mod.rs
@@ -1,4 +1,4 @@
-//! Faults drawn at random, each counted by its kind; the disks that they take stay within the loss budget.
+//! Random faults, counted by kind. Losses of disks stay within the loss budget.
 
 mod crashes;
 mod disks;
@@ -14,14 +14,14 @@
 use super::machine::ProcessEnd;
 use super::world::World;
 
-/// The least time between two faults.
+/// Minimum time between two faults.
 const MIN_GAP: Duration = Duration::from_millis(300);
-/// An ordinary pause ends sooner than this after its shortest duration, in milliseconds.
-const PAUSE_MS: u64 = 7_300;
-/// A pause that outlasts every lease and time-out.
-const LONG_PAUSE_MS: u64 = 25_000;
+/// Exclusive upper bound of the random part of an ordinary pause, in milliseconds.
+const PAUSE_RANGE_MS: u64 = 7_300;
+/// The same for a long pause, which can outlast every lease and timeout.
+const LONG_PAUSE_RANGE_MS: u64 = 25_000;
 
-/// What may be injected.
+/// A fault that can be injected.
 #[derive(Clone, Copy)]
 enum Fault {
     Crash,
@@ -44,7 +44,7 @@
     IngressRestart,
 }
 
-/// Which faults are drawn, and with which weight.
+/// Faults and their weights in an ordinary schedule.
 const FAULTS: [(Fault, u64); 18] = [
     (Fault::Crash, 4),
     (Fault::DiskLost, 4),
@@ -66,7 +66,7 @@
     (Fault::IngressRestart, 2),
 ];
 
-/// In a schedule of replacements: what leaves room for them in the loss budget.
+/// Faults and their weights in a schedule of replacements; they leave room for replacements in the loss budget.
 const REPLACEMENT_FAULTS: [(Fault, u64); 8] = [
     (Fault::DiskLost, 4),
     (Fault::UnplannedReplacement, 4),
@@ -96,7 +96,7 @@
         Fault::Crash
     }
 
-    /// Injects a fault at any machine, and schedules the next one.
+    /// Injects a fault at a random machine, and schedules the next fault.
     pub(super) fn inject_fault(&mut self) {
         if self.is_healed() {
             return;
@@ -104,7 +104,7 @@
         let gap = MIN_GAP + self.random.millis_below(self.plan.fault_gap_ms);
         self.push_in(gap, Event::InjectFault);
         let fault = self.draw_fault();
-        let node = self.any_machine();
+        let node = self.random_machine();
         if self.machines[node].decommissioned {
             return;
         }
@@ -125,8 +125,8 @@
             Fault::LongPartition => self.partition_long(node),
             Fault::Split => self.split_in_halves(),
             Fault::IngressPartition => self.partition_ingress(node),
-            Fault::Pause => self.pause(node, PAUSE_MS, FaultKind::Pause),
-            Fault::LongPause => self.pause(node, LONG_PAUSE_MS, FaultKind::LongPause),
+            Fault::Pause => self.pause(node, PAUSE_RANGE_MS, FaultKind::Pause),
+            Fault::LongPause => self.pause(node, LONG_PAUSE_RANGE_MS, FaultKind::LongPause),
             Fault::SlowDisk => self.slow_disk(node),
             Fault::FullDisk => self.fill_disk(node),
             Fault::IngressRestart => self.restart_ingress(),
--- a/crates/linenthread-simulation/src/system/faults/second_losses.rs
+++ b/crates/linenthread-simulation/src/system/faults/second_losses.rs
@@ -1,4 +1,4 @@
-//! Losses right after another one, or right after an acknowledgement: when few disks hold what was acknowledged.
+//! Losses right after another loss or an acknowledgement, when few disks hold what was acknowledged.
 
 use std::time::Duration;
 
@@ -10,50 +10,51 @@
 use super::super::machine::ProcessEnd;
 use super::super::world::World;
 
-/// A second loss comes within so many milliseconds.
-const SECOND_LOSS_WITHIN_MS: u64 = 3_000;
+/// Exclusive upper bound of the delay of a second loss, in milliseconds.
+const SECOND_LOSS_RANGE_MS: u64 = 3_000;
 
 impl World {
-    /// Every other time a second loss follows soon after `from`.
+    /// Schedules a second loss soon after `from`, with probability 1/2.
     pub(super) fn draw_second_loss(&mut self, from: Instant) {
         if self.random.one_in(2) {
-            let at = from + self.random.millis_below(SECOND_LOSS_WITHIN_MS);
+            let at = from + self.random.millis_below(SECOND_LOSS_RANGE_MS);
             self.queue.push_at(at, Event::SecondLoss);
         }
     }
 
-    /// Right after a change of the voters: a disk within the budget, a power loss of all others, or a crash.
+    /// Injects a loss right after a change of the voters: the loss of a disk within the budget, a power loss of all
+    /// other machines or both, or a crash.
     pub(in super::super) fn inject_second_loss(&mut self) {
-        let node = self.any_machine();
+        let node = self.random_machine();
         if self.is_healed() || !self.is_up(node) {
             return;
         }
-        let way = self.random.below(4);
-        if way < 3 && self.may_lose_one() {
+        let choice = self.random.below(4);
+        if choice < 3 && self.may_lose_one() {
             self.count_fault(FaultKind::SecondDiskLost);
             let restart_in = Duration::from_millis(200) + self.random.millis_below(1_000);
             self.lose_disk(node, restart_in);
         }
-        match way {
+        match choice {
             0 => self.end_all(ProcessEnd::PowerLost, FaultKind::AllOthersLosePower),
             3 => self.crash_one(node),
             _ => {}
         }
     }
 
-    /// At the end of the faults, soon after a change was sent: the disks that have lasted longest are lost, as many as the
-    /// budget has left, and at the same moment all other machines lose power, ingress nodes too. Returns whether it came
-    /// about: that takes voters whose majority has the newest set on disk.
+    /// Injects the closing loss, soon after a change was sent: as many disks as the budget still permits are lost,
+    /// those first that have lasted longest, and at the same time all other machines lose power and all ingress nodes
+    /// restart. Returns false without a loss if [`World::all_vote`] does not hold.
     pub(in super::super) fn inject_closing_loss(&mut self) -> bool {
         if !self.all_vote() {
             return false;
         }
         self.count_fault(FaultKind::ClosingLoss);
-        let mut by_age: Vec<usize> = (0..self.machines.len())
+        let mut by_disk_age: Vec<usize> = (0..self.machines.len())
             .filter(|node| self.is_up(*node))
             .collect();
-        by_age.sort_by_key(|node| self.machines[*node].erased_until);
-        for node in by_age {
+        by_disk_age.sort_by_key(|node| self.machines[*node].erased_until);
+        for node in by_disk_age {
             if self.may_lose_one() {
                 let restart_in = Duration::from_millis(100) + self.random.millis_below(800);
                 self.lose_disk(node, restart_in);
@@ -66,7 +67,7 @@
         true
     }
 
-    /// Right after an acknowledgement a disk is lost, and another process may end as well, or all lose power.
+    /// Loses a disk right after an acknowledgement; another machine may lose power as well, or all of them.
     pub(in super::super) fn inject_loss_after_acknowledgement(&mut self, node: usize) {
         let may_lose = self.down_or_erased() < self.max_lost;
         if self.is_healed() || !self.is_up(node) || !may_lose || !self.all_vote() {
