--- a/crates/linenthread-checker/src/lease/action.rs
+++ b/crates/linenthread-checker/src/lease/action.rs
@@ -8,7 +8,7 @@
     /// The message at this index of the network is delivered.
     Deliver(usize),
     /// Time passes on all clocks.
-    PassTime,
+    AdvanceTime,
     /// A node requests the lease, or its renewal.
     Request(NodeIndex),
     /// A node restarts.
--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -81,7 +81,7 @@
 
 /// One incarnation of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Holder {
+struct HolderIncarnation {
     node: NodeIndex,
     incarnation_count: u64,
 }
@@ -96,7 +96,7 @@
     durable_epochs: [Epoch; NODE_COUNT],
     network: BTreeSet<InFlight>,
     /// Who has held the lease, by epoch.
-    holders: BTreeMap<Epoch, BTreeSet<Holder>>,
+    holders: BTreeMap<Epoch, BTreeSet<HolderIncarnation>>,
     /// How often what may still happen.
     remaining: LeaseScenario,
     has_restarted: bool,
@@ -170,7 +170,7 @@
         } = self.remaining;
         let deliveries = (0..self.network.len()).map(LeaseAction::Deliver);
         let mut actions: Vec<LeaseAction> = deliveries.collect();
-        actions.extend((steps > 0).then_some(LeaseAction::PassTime));
+        actions.extend((steps > 0).then_some(LeaseAction::AdvanceTime));
         for node in NodeIndex::ALL {
             let is_candidate = CANDIDATES.contains(&node);
             let all = [
@@ -188,7 +188,7 @@
     pub(crate) fn apply(&mut self, action: LeaseAction) {
         match action {
             LeaseAction::Deliver(index) => self.deliver(index),
-            LeaseAction::PassTime => {
+            LeaseAction::AdvanceTime => {
                 self.remaining.steps -= 1;
                 self.now += TIME_STEP;
             }
@@ -206,7 +206,7 @@
             }
         }
         self.record_holders();
-        self.discard_void_replies();
+        self.discard_ineffective_replies();
     }
 
     fn request(&mut self, node: NodeIndex) {
@@ -317,15 +317,18 @@
 
     fn record_holders(&mut self) {
         for (node, epoch) in self.current_leases().collect::<Vec<_>>() {
-            self.holders.entry(epoch).or_default().insert(Holder {
-                node,
-                incarnation_count: self.incarnation_counts[node.get()],
-            });
+            self.holders
+                .entry(epoch)
+                .or_default()
+                .insert(HolderIncarnation {
+                    node,
+                    incarnation_count: self.incarnation_counts[node.get()],
+                });
         }
     }
 
     /// Replies to a request that is over have no effect, now or later: states that differ in them alone are one state.
-    fn discard_void_replies(&mut self) {
+    fn discard_ineffective_replies(&mut self) {
         let (now, leases) = (self.now, &self.leases);
         self.network.retain(|in_flight| {
             let Message::Reply {
@@ -363,7 +366,7 @@
                 }
                 None => format!("no message {index}"),
             },
-            LeaseAction::PassTime => format!("{} ms pass", TIME_STEP.as_millis()),
+            LeaseAction::AdvanceTime => format!("{} ms pass", TIME_STEP.as_millis()),
             LeaseAction::Request(node) => format!("node {node} requests the lease"),
             LeaseAction::Crash(node) => format!("node {node} restarts"),
             LeaseAction::Release(node) => format!("node {node} releases the lease"),
--- a/crates/linenthread-checker/src/register/action.rs
+++ b/crates/linenthread-checker/src/register/action.rs
@@ -30,7 +30,7 @@
     let mut actions = Vec::new();
     for (index, message) in (0..).zip(&state.network) {
         actions.push(Action::Deliver(index));
-        if state.budget.duplicates > 0 && matters_twice(&message.message) {
+        if state.budget.duplicates > 0 && is_duplicate_relevant(&message.message) {
             actions.push(Action::DeliverAndDuplicate(index));
         }
     }
@@ -58,7 +58,7 @@
 }
 
 /// A reply is counted once for its sender anyway, so only requests are duplicated.
-fn matters_twice(message: &PeerMessage) -> bool {
+fn is_duplicate_relevant(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::Prepare(_) | PeerMessage::Accept(_))
 }
 
--- a/crates/linenthread-checker/src/register/history.rs
+++ b/crates/linenthread-checker/src/register/history.rs
@@ -21,7 +21,7 @@
     /// The greatest number of a value that a caller was told of.
     newest_reported: ValueNumber,
     /// `newest_reported` as of when each pending read was submitted.
-    read_floors: BTreeMap<JobId, ValueNumber>,
+    minimum_read_numbers: BTreeMap<JobId, ValueNumber>,
     /// A read returned a value older than one that was reported before it was submitted.
     has_stale_read: bool,
     completed_reads: u8,
@@ -77,7 +77,7 @@
     }
 
     /// Whether [`History::record_decided`] would change anything.
-    pub(crate) fn is_known(&self, value: &Value) -> bool {
+    pub(crate) fn is_decided_value(&self, value: &Value) -> bool {
         self.decided.get(&ValueNumber::of(value)) == Some(value)
     }
 
@@ -93,7 +93,7 @@
     pub(crate) fn record_decided(&mut self, value: &Value) {
         let number = ValueNumber::of(value);
         if self.is_decided(number) {
-            self.has_conflicting_values |= !self.is_known(value);
+            self.has_conflicting_values |= !self.is_decided_value(value);
             return;
         }
         self.has_minority_decision |= !self.is_accepted_by_majority(number);
@@ -147,13 +147,13 @@
 
     /// A read was submitted.
     pub(crate) fn record_read_submitted(&mut self, job: JobId) {
-        self.read_floors.insert(job, self.newest_reported);
+        self.minimum_read_numbers.insert(job, self.newest_reported);
     }
 
     /// A read returned a value.
     pub(crate) fn record_read(&mut self, job: JobId, value: &Value) {
         let number = ValueNumber::of(value);
-        let floor = self.read_floors.remove(&job);
+        let floor = self.minimum_read_numbers.remove(&job);
         self.has_stale_read |= floor.is_some_and(|floor| number < floor);
         self.newest_reported = self.newest_reported.max(number);
         self.completed_reads += 1;
--- a/crates/linenthread-checker/src/register/obsolete.rs
+++ b/crates/linenthread-checker/src/register/obsolete.rs
@@ -9,9 +9,9 @@
 use crate::register::state::{InFlight, Node, SystemState};
 
 /// Discards the obsolete messages, after a node has acted.
-pub(crate) fn discard(state: &mut SystemState, acted: NodeIndex) {
+pub(crate) fn discard(state: &mut SystemState, acting_node: NodeIndex) {
     let mut network = std::mem::take(&mut state.network);
-    let acted = state.node(acted);
+    let acted = state.node(acting_node);
     network.retain(|message| {
         let is_obsolete = is_about_decided_number(state, message)
             || message.to == acted.id && is_ignored_reply(acted, message);
@@ -31,10 +31,10 @@
 fn is_about_decided_number(state: &SystemState, message: &InFlight) -> bool {
     let receiver = newest_number(state, message.to);
     let receiver_has = |number| receiver >= Some(ValueNumber::new(number));
-    let sender_has_as_much = || newest_number(state, message.from) >= receiver;
+    let sender_is_as_recent = || newest_number(state, message.from) >= receiver;
     match &message.message {
-        PeerMessage::Prepare(request) => receiver_has(request.number) && sender_has_as_much(),
-        PeerMessage::Accept(request) => receiver_has(request.value.number) && sender_has_as_much(),
+        PeerMessage::Prepare(request) => receiver_has(request.number) && sender_is_as_recent(),
+        PeerMessage::Accept(request) => receiver_has(request.value.number) && sender_is_as_recent(),
         PeerMessage::Promise(promise) => receiver_has(promise.number),
         PeerMessage::AcceptAck(ack) => receiver_has(ack.number),
         PeerMessage::Rejected(rejected) => receiver_has(rejected.number),
--- a/crates/linenthread-checker/src/register/state.rs
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -20,7 +20,7 @@
 const SPARE_DISK_ID: NodeId = NodeId(4);
 
 /// Stands for the sender of a message where the sender makes no difference.
-const ANY_NODE: NodeId = NodeId(0);
+const ANY_SENDER: NodeId = NodeId(0);
 
 /// An incarnation that no two incarnations of any nodes share. Their count is in the upper half, since read identities
 /// begin with it.
@@ -39,12 +39,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct UnsyncedRecord {
     pub(crate) record: Record,
-    pub(crate) after_sync: Vec<Waiting>,
+    pub(crate) after_sync: Vec<DeferredEffect>,
 }
 
 /// What waits until a record is synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Waiting {
+pub(crate) enum DeferredEffect {
     Message(Box<InFlight>),
     RecordSynced(SyncedRecord),
 }
@@ -103,7 +103,7 @@
     pub(crate) fn new(from: NodeId, to: NodeId, message: PeerMessage) -> InFlight {
         // It makes no difference who announces a decided value.
         let from = if matches!(message, PeerMessage::Decided(_)) {
-            ANY_NODE
+            ANY_SENDER
         } else {
             from
         };
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -13,7 +13,7 @@
 use crate::register::action::Action;
 use crate::register::obsolete;
 use crate::register::scenario::{Call, Scenario};
-use crate::register::state::{InFlight, SystemState, UnsyncedRecord, Waiting};
+use crate::register::state::{DeferredEffect, InFlight, SystemState, UnsyncedRecord};
 
 /// A tick moves a node's clock by this much, past every time-out.
 const TICK: Duration = Duration::from_secs(2);
@@ -98,7 +98,7 @@
             message.message.clone(),
             &mut effects,
         );
-        self.carry_out(receiver, effects);
+        self.apply_effects(receiver, effects);
         receiver
     }
 
@@ -108,7 +108,7 @@
         self.state.clear_pending_call(index);
         let job = JobId(u64::from(call));
         let mut effects = Vec::new();
-        if let Some(change) = self.change_of(scheduled.call, scheduled.node) {
+        if let Some(change) = self.proposed_change(scheduled.call, scheduled.node) {
             let node = self.state.node_mut(scheduled.node);
             node.register
                 .propose(node.now, job, change, DEADLINE, &mut effects);
@@ -118,12 +118,12 @@
             let node = self.state.node_mut(scheduled.node);
             node.register.read(node.now, job, DEADLINE, &mut effects);
         }
-        self.carry_out(scheduled.node, effects);
+        self.apply_effects(scheduled.node, effects);
         scheduled.node
     }
 
     /// The change that a call proposes at a node; none for a read.
-    fn change_of(&self, call: Call, node: NodeIndex) -> Option<Change> {
+    fn proposed_change(&self, call: Call, node: NodeIndex) -> Option<Change> {
         if call != Call::ReplaceVoter {
             return call.change();
         }
@@ -141,7 +141,7 @@
         let acting = self.state.node_mut(node);
         acting.now += TICK;
         acting.register.tick(acting.now, &mut effects);
-        self.carry_out(node, effects);
+        self.apply_effects(node, effects);
     }
 
     fn sync(&mut self, node: NodeIndex) {
@@ -150,8 +150,8 @@
         self.deliver_loopback(node);
     }
 
-    fn carry_out(&mut self, node: NodeIndex, effects: Vec<Effect>) {
-        self.carry_out_once(node, effects);
+    fn apply_effects(&mut self, node: NodeIndex, effects: Vec<Effect>) {
+        self.apply_effects_once(node, effects);
         self.deliver_loopback(node);
     }
 
@@ -165,11 +165,11 @@
                 Loopback::Message(message) => register.on_message(now, id, message, &mut effects),
                 Loopback::RecordSynced(synced) => register.on_synced(now, synced, &mut effects),
             }
-            self.carry_out_once(node, effects);
+            self.apply_effects_once(node, effects);
         }
     }
 
-    fn carry_out_once(&mut self, node: NodeIndex, effects: Vec<Effect>) {
+    fn apply_effects_once(&mut self, node: NodeIndex, effects: Vec<Effect>) {
         let from = self.state.node(node).id;
         for effect in effects {
             match effect {
@@ -194,10 +194,10 @@
         let after_sync = after_sync
             .into_iter()
             .filter_map(|next| match next {
-                AfterSync::Send { to, message } => {
-                    Some(Waiting::Message(Box::new(InFlight::new(from, to, message))))
-                }
-                AfterSync::RecordSynced(synced) => Some(Waiting::RecordSynced(synced)),
+                AfterSync::Send { to, message } => Some(DeferredEffect::Message(Box::new(
+                    InFlight::new(from, to, message),
+                ))),
+                AfterSync::RecordSynced(synced) => Some(DeferredEffect::RecordSynced(synced)),
                 // No register asks for it.
                 AfterSync::EpochSynced(_) | AfterSync::SnapshotSynced(_) => None,
             })
@@ -226,8 +226,8 @@
         self.state.node_mut(node).disk.add(record);
         for waiting in after_sync {
             match waiting {
-                Waiting::Message(message) => self.send(id, *message),
-                Waiting::RecordSynced(synced) => {
+                DeferredEffect::Message(message) => self.send(id, *message),
+                DeferredEffect::RecordSynced(synced) => {
                     self.loopback.push_back(Loopback::RecordSynced(synced));
                 }
             }
@@ -246,7 +246,7 @@
             let message = PeerMessage::Decided(value.clone());
             self.state.send(InFlight::new(from, to, message));
         }
-        if !self.state.history().is_known(value) {
+        if !self.state.history().is_decided_value(value) {
             self.state
                 .update_history(|history| history.record_decided(value));
         }
--- a/crates/linenthread-ci/src/check.rs
+++ b/crates/linenthread-ci/src/check.rs
@@ -111,7 +111,7 @@
     for (program, run) in &runs {
         add_run(program, run, &mut report);
     }
-    check_tests(known, &outcomes(&runs), &mut report);
+    check_tests(known, &outcomes_by_full_name(&runs), &mut report);
     check_exit_status(output, exit_status, &mut report.violations);
     report
 }
@@ -124,7 +124,7 @@
 ) -> BTreeMap<String, &'a ProgramRun> {
     let mut named = BTreeMap::new();
     for run in runs {
-        let program = programs.iter().find(|program| run.is_of(program));
+        let program = programs.iter().find(|program| run.is_run_of(program));
         let name = match program {
             Some(program) => format!("{}::{}", program.package, program.target),
             None if run.documentation => format!("{}::doc", run.file.replace('_', "-")),
@@ -140,7 +140,7 @@
         }
     }
     for program in programs {
-        if !runs.iter().any(|run| run.is_of(program)) {
+        if !runs.iter().any(|run| run.is_run_of(program)) {
             let program = format!("{}::{}", program.package, program.target);
             violations.push(Violation::NotRun { program });
         }
@@ -184,7 +184,7 @@
 }
 
 /// All tests by `package::target::test`.
-fn outcomes(runs: &BTreeMap<String, &ProgramRun>) -> BTreeMap<String, TestOutcome> {
+fn outcomes_by_full_name(runs: &BTreeMap<String, &ProgramRun>) -> BTreeMap<String, TestOutcome> {
     let mut outcomes = BTreeMap::new();
     for (program, run) in runs {
         for (test, outcome) in &run.tests {
--- a/crates/linenthread-ci/src/test_output.rs
+++ b/crates/linenthread-ci/src/test_output.rs
@@ -43,7 +43,7 @@
 
 impl ProgramRun {
     /// Whether this is a run of that program.
-    pub(crate) fn is_of(&self, program: &TestProgram) -> bool {
+    pub(crate) fn is_run_of(&self, program: &TestProgram) -> bool {
         !self.documentation && self.file == program.file
     }
 }
--- a/crates/linenthread-ci/tests/known_red.rs
+++ b/crates/linenthread-ci/tests/known_red.rs
@@ -67,16 +67,16 @@
     )
 }
 
-const RED: &str = "left::system::a | cargo test -p left, seed 7 | the fault | 43\n";
-const OK: &[(&str, &str)] = &[("a", "ok"), ("b::case", "ok")];
+const KNOWN_FAILURE: &str = "left::system::a | cargo test -p left, seed 7 | the fault | 43\n";
+const ALL_PASS: &[(&str, &str)] = &[("a", "ok"), ("b::case", "ok")];
 const A_FAILS: &[(&str, &str)] = &[("a", "FAILED"), ("b::case", "ok")];
 
 #[parameterized(
-    nothing_listed = { "", OK, OK, 0 },
-    blank_list = { "\n\n", OK, OK, 0 },
-    one_listed_fails = { RED, A_FAILS, OK, 101 },
+    nothing_listed = { "", ALL_PASS, ALL_PASS, 0 },
+    blank_list = { "\n\n", ALL_PASS, ALL_PASS, 0 },
+    one_listed_fails = { KNOWN_FAILURE, A_FAILS, ALL_PASS, 101 },
     both_tests_of_one_name_listed = { "left::system::a | c | x | 1\nright::system::a | d | y | 2\n", A_FAILS, A_FAILS, 101 },
-    ignored_tests_are_permitted = { "", &[("a", "ignored"), ("b", "ignored, slow")], OK, 0 },
+    ignored_tests_are_permitted = { "", &[("a", "ignored"), ("b", "ignored, slow")], ALL_PASS, 0 },
 )]
 fn passes(known: &str, left: &[(&str, &str)], right: &[(&str, &str)], status: i32) {
     let report = report_on(known, left, right, status);
@@ -95,19 +95,19 @@
 }
 
 #[parameterized(
-    not_listed = { "", A_FAILS, OK, 101, failed("left::system::a") },
-    test_of_the_same_name_is_listed = { RED, A_FAILS, A_FAILS, 101, failed("right::system::a") },
-    another_test_is_listed = { RED, &[("a", "FAILED"), ("b", "FAILED")], OK, 101, failed("left::system::b") },
-    listed_passes = { RED, OK, OK, 0, Violation::KnownFailurePassed { test: "left::system::a".into() } },
+    not_listed = { "", A_FAILS, ALL_PASS, 101, failed("left::system::a") },
+    test_of_the_same_name_is_listed = { KNOWN_FAILURE, A_FAILS, A_FAILS, 101, failed("right::system::a") },
+    another_test_is_listed = { KNOWN_FAILURE, &[("a", "FAILED"), ("b", "FAILED")], ALL_PASS, 101, failed("left::system::b") },
+    listed_passes = { KNOWN_FAILURE, ALL_PASS, ALL_PASS, 0, Violation::KnownFailurePassed { test: "left::system::a".into() } },
     listed_is_ignored = {
-        RED, &[("a", "ignored, slow")], OK, 0, Violation::KnownFailureIgnored { test: "left::system::a".into() }
+        KNOWN_FAILURE, &[("a", "ignored, slow")], ALL_PASS, 0, Violation::KnownFailureIgnored { test: "left::system::a".into() }
     },
     listed_is_no_test = {
-        "left::system::c | c | x | 1", OK, OK, 0, Violation::KnownFailureMissing { test: "left::system::c".into() }
+        "left::system::c | c | x | 1", ALL_PASS, ALL_PASS, 0, Violation::KnownFailureMissing { test: "left::system::c".into() }
     },
-    status_without_a_failed_test = { "", OK, OK, 101, Violation::ExitStatus { status: 101 } },
-    failed_test_without_status = { RED, A_FAILS, OK, 0, Violation::ExitStatus { status: 0 } },
-    killed_by_a_signal = { RED, A_FAILS, OK, 137, Violation::ExitStatus { status: 137 } },
+    status_without_a_failed_test = { "", ALL_PASS, ALL_PASS, 101, Violation::ExitStatus { status: 101 } },
+    failed_test_without_status = { KNOWN_FAILURE, A_FAILS, ALL_PASS, 0, Violation::ExitStatus { status: 0 } },
+    killed_by_a_signal = { KNOWN_FAILURE, A_FAILS, ALL_PASS, 137, Violation::ExitStatus { status: 137 } },
 )]
 fn fails(
     known: &str,
@@ -127,7 +127,7 @@
     compile_error = { "error[E0308]: mismatched types\nerror: could not compile `left` (lib test)\n" },
 )]
 fn nothing_ran(text: &str) {
-    for known in ["", RED] {
+    for known in ["", KNOWN_FAILURE] {
         assert_eq!(
             report_on_text(known, text, 101).violations,
             [Violation::NothingRan]
@@ -141,9 +141,9 @@
         test a ... FAILED\nerror: test failed, to rerun pass `-p left --test system`\n\n\
         Caused by:\n  process didn't exit successfully: `x` (signal: 6, SIGABRT: process abort signal)\n"
         .to_owned()
-        + &program("system-2", OK)
+        + &program("system-2", ALL_PASS)
         + "error: 1 target failed:\n";
-    let report = report_on_text(RED, &text, 101);
+    let report = report_on_text(KNOWN_FAILURE, &text, 101);
     assert!(
         report.violations.contains(&Violation::MissingSummary {
             program: "left::system".into()
@@ -156,7 +156,7 @@
 fn a_summary_that_disagrees_with_its_lines_fails() {
     let text = program("system-1", A_FAILS)
         .replace("test a ... FAILED", "test a ... words in between")
-        + &program("system-2", OK)
+        + &program("system-2", ALL_PASS)
         + "error: 1 target failed:\n";
     let violations = report_on_text("", &text, 101).violations;
     assert_eq!(
@@ -169,7 +169,7 @@
 
 #[test]
 fn a_program_that_did_not_run_or_is_unknown_fails() {
-    let text = program("system-1", OK) + &program("system-3", OK);
+    let text = program("system-1", ALL_PASS) + &program("system-3", ALL_PASS);
     let violations = report_on_text("", &text, 0).violations;
     let unknown = Violation::UnknownProgram {
         program: "system-3".into(),
@@ -190,7 +190,7 @@
     let doc = "   Doc-tests two_words\n\nrunning 1 test\ntest src/lib.rs - f (line 3) ... FAILED\n\n\
         test result: FAILED. 0 passed; 1 failed; 0 ignored; 0 measured; 0 filtered out; finished in 0.01s\n\n\
         error: 1 target failed:\n    `-p two-words --doc`\n";
-    let text = program("system-1", OK) + &program("system-2", OK) + doc;
+    let text = program("system-1", ALL_PASS) + &program("system-2", ALL_PASS) + doc;
     assert_eq!(
         report_on_text("", &text, 101).violations,
         [failed("two-words::doc::src/lib.rs - f (line 3)")]
@@ -199,7 +199,7 @@
 
 #[test]
 fn the_counts_are_of_all_programs() {
-    let total = report_on(RED, A_FAILS, &[("a", "ignored")], 101).total;
+    let total = report_on(KNOWN_FAILURE, A_FAILS, &[("a", "ignored")], 101).total;
     assert_eq!((total.passed, total.failed, total.ignored), (1, 1, 1));
 }
 
@@ -226,13 +226,13 @@
 
 #[test]
 fn an_entry_has_its_four_fields_and_is_printed_with_them() {
-    let known = parse_known_failures(RED).unwrap();
+    let known = parse_known_failures(KNOWN_FAILURE).unwrap();
     assert_eq!(known.len(), 1);
     assert_eq!(known[0].test, "left::system::a");
     assert_eq!(known[0].command, "cargo test -p left, seed 7");
     assert_eq!(known[0].observed, "the fault");
     assert_eq!(known[0].issue, "43");
-    assert_eq!(known[0].to_string(), RED.trim_end());
+    assert_eq!(known[0].to_string(), KNOWN_FAILURE.trim_end());
 }
 
 /// No number is set: each of many entries is checked like a single one.
@@ -244,14 +244,14 @@
         .map(|name| format!("left::system::{name} | c | x | 1\n"))
         .collect();
     let all_fail = names.map(|name| (name, "FAILED"));
-    let report = report_on(&known, &all_fail, OK, 101);
+    let report = report_on(&known, &all_fail, ALL_PASS, 101);
     assert_eq!(report.violations, []);
     assert_eq!(report.known.len(), names.len());
 
     let mut last_passes = all_fail;
     last_passes[names.len() - 1].1 = "ok";
     assert_eq!(
-        report_on(&known, &last_passes, OK, 101).violations,
+        report_on(&known, &last_passes, ALL_PASS, 101).violations,
         [Violation::KnownFailurePassed {
             test: "left::system::e".into()
         }]
--- a/crates/linenthread-dataplane-sim/src/checker.rs
+++ b/crates/linenthread-dataplane-sim/src/checker.rs
@@ -135,7 +135,7 @@
         self.path.starts_with(PUBLIC_PREFIX)
     }
 
-    fn is_of(&self, execution: &Execution) -> bool {
+    fn matches(&self, execution: &Execution) -> bool {
         execution.request_id == self.request_id && execution.path == self.path
     }
 }
@@ -169,7 +169,7 @@
     }
 
     /// Notes a violation.
-    pub(crate) fn violation(&mut self, rule: Rule, cause: String) {
+    pub(crate) fn add_violation(&mut self, rule: Rule, cause: String) {
         self.violations.push(Violation { rule, cause });
     }
 
@@ -189,13 +189,13 @@
         &mut self,
         request: &ClientRequest,
         response: &ClientResponse,
-        delay: Duration,
+        lateness: Duration,
     ) {
         let ClientResponse { head, body } = response;
         let id = &request.request_id;
-        if !delay.is_zero() {
-            let cause = format!("{id} was answered {delay:?} too late");
-            self.violation(Rule::CompleteOrDeclared, cause);
+        if !lateness.is_zero() {
+            let cause = format!("{id} was answered {lateness:?} too late");
+            self.add_violation(Rule::CompleteOrDeclared, cause);
         }
         let seal = head.header("x-replica-seal");
         let is_merged = request.kind == RequestKind::Merged;
@@ -219,7 +219,7 @@
             }
             (status, _, seal) => {
                 let cause = format!("{id} got {status}, seal {seal:?}");
-                self.violation(Rule::CompleteOrDeclared, cause);
+                self.add_violation(Rule::CompleteOrDeclared, cause);
             }
         }
     }
@@ -229,15 +229,19 @@
     fn check_unauthorized(&mut self, request: &ClientRequest) {
         self.counts.unauthorized += 1;
         self.rejected.push(request.request_id.clone());
-        let owners = self.owners_until(request, Instant::now());
+        let owners = self.key_owners_until(request, Instant::now());
         if request.is_public() || !owners.contains(&None) {
             let cause = format!("{} got 401, {:?}", request.request_id, request.identity);
-            self.violation(Rule::TenantOfKey, cause);
+            self.add_violation(Rule::TenantOfKey, cause);
         }
     }
 
     /// Who had the key of a request at some time since it was sent.
-    fn owners_until(&self, request: &ClientRequest, until: Instant) -> Vec<Option<&'static str>> {
+    fn key_owners_until(
+        &self,
+        request: &ClientRequest,
+        until: Instant,
+    ) -> Vec<Option<&'static str>> {
         let credentials = request.identity.credentials;
         self.keys
             .owners_between(credentials, request.sent_at, until)
@@ -245,7 +249,7 @@
 
     /// A request as it reached a replica.
     fn check_arrival(&mut self, request: &ClientRequest, arrival: &Arrival) {
-        let owners = self.owners_until(request, arrival.at);
+        let owners = self.key_owners_until(request, arrival.at);
         let is_allowed = match arrival.tenants.as_slice() {
             [] => request.is_public() && owners.contains(&None),
             [tenant] => owners.contains(&Some(tenant.as_str())),
@@ -253,23 +257,23 @@
         };
         if !is_allowed {
             let cause = format!("{arrival:?} of {owners:?}, {:?}", request.identity);
-            self.violation(Rule::TenantOfKey, cause);
+            self.add_violation(Rule::TenantOfKey, cause);
         }
     }
 
     /// The connection ended, or stalled, where a response was due.
     pub(crate) fn on_missing_response(&mut self, request: &ClientRequest, cause: &str) {
         let cause = format!("{} got no response: {cause}", request.request_id);
-        self.violation(Rule::CompleteOrDeclared, cause);
+        self.add_violation(Rule::CompleteOrDeclared, cause);
     }
 
     /// The execution whose seal a response has, if that is of the request.
     fn check_seal(&mut self, request: &ClientRequest, seal: &str) -> Option<Execution> {
-        let execution = self.log.sealed_by(seal);
-        let own = execution.filter(|execution| request.is_of(execution));
+        let execution = self.log.execution_by_seal(seal);
+        let own = execution.filter(|execution| request.matches(execution));
         if own.is_none() {
             let cause = format!("{} got the seal {seal}", request.request_id);
-            self.violation(Rule::OwnResponseOnly, cause);
+            self.add_violation(Rule::OwnResponseOnly, cause);
         }
         own
     }
@@ -285,11 +289,11 @@
         let id = &request.request_id;
         if head.header("x-attempt-id") != Some(id) {
             let cause = format!("{id} got a response with another id");
-            self.violation(Rule::OwnResponseOnly, cause);
+            self.add_violation(Rule::OwnResponseOnly, cause);
         }
         if body != response_body(&execution.backend, &execution.path, &execution.request_id) {
             let cause = format!("{id} got another body");
-            self.violation(Rule::CompleteOrDeclared, cause);
+            self.add_violation(Rule::CompleteOrDeclared, cause);
         }
     }
 
@@ -310,7 +314,7 @@
         }
         if missing != Some(MERGED_BACKENDS.len().saturating_sub(seals.len())) {
             let cause = format!("{id} was told that {missing:?} parts are missing");
-            self.violation(Rule::CompleteOrDeclared, cause);
+            self.add_violation(Rule::CompleteOrDeclared, cause);
         }
         let backends: BTreeSet<String> = seals
             .iter()
@@ -323,7 +327,7 @@
             .collect();
         if body != merge_top_records(parts.iter().map(Vec::as_slice), RECORD_LIMIT) {
             let cause = format!("{id} got other records");
-            self.violation(Rule::OwnResponseOnly, cause);
+            self.add_violation(Rule::OwnResponseOnly, cause);
         }
     }
 
@@ -336,7 +340,7 @@
         for arrival in self.log.take_arrivals() {
             match by_id.get(arrival.request_id.as_str()) {
                 Some(request) => self.check_arrival(request, &arrival),
-                None => self.violation(Rule::TenantOfKey, format!("nobody sent {arrival:?}")),
+                None => self.add_violation(Rule::TenantOfKey, format!("nobody sent {arrival:?}")),
             }
         }
     }
@@ -347,14 +351,14 @@
             let executions = self.log.executions_of(&request_id);
             if executions > 0 {
                 let cause = format!("{request_id} was rejected and executed {executions} times");
-                self.violation(Rule::RejectedNeverExecuted, cause);
+                self.add_violation(Rule::RejectedNeverExecuted, cause);
             }
         }
         for cause in self.log.take_misused_connections() {
-            self.violation(Rule::NoAmbiguousConnection, cause);
+            self.add_violation(Rule::NoAmbiguousConnection, cause);
         }
         for cause in self.log.take_leaked_keys() {
-            self.violation(Rule::KeyNeverForwarded, cause);
+            self.add_violation(Rule::KeyNeverForwarded, cause);
         }
         let requests = std::mem::take(&mut self.requests);
         self.check_arrivals(&requests);
@@ -362,7 +366,7 @@
             let executions = self.log.executions_of(&request.request_id);
             if request.kind == RequestKind::Mutating && executions > 1 {
                 let cause = format!("{} was executed {executions} times", request.request_id);
-                self.violation(Rule::MutatingAtMostOnce, cause);
+                self.add_violation(Rule::MutatingAtMostOnce, cause);
             }
         }
         std::mem::take(&mut self.violations)
--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -27,7 +27,7 @@
 /// A response may arrive so long after its deadline: the ingress node waits that long for a replica's last message.
 const RESPONSE_SLACK: Duration = Duration::from_millis(60);
 /// Nothing is awaited for longer.
-const FOREVER: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 /// How long a session waits at its end for bytes that nobody requested.
 const SURPLUS_TIMEOUT: Duration = Duration::from_millis(500);
 /// The address that the ingress node sees.
@@ -40,7 +40,7 @@
 /// Idempotent requests to one backend that need no key, per mille.
 const PUBLIC_PER_MILLE: u64 = 300;
 /// Responses that are not awaited to their end, per mille.
-const IMPATIENT_PER_MILLE: u64 = 30;
+const ABANDONED_PER_MILLE: u64 = 30;
 /// Requests with the whole time-out of their route, per mille; the others have less time.
 const FULL_TIMEOUT_PER_MILLE: u64 = 700;
 
@@ -63,7 +63,7 @@
 }
 
 /// One session; its requests are named after it.
-pub(crate) async fn session(shared: Shared, name: String) {
+pub(crate) async fn run_session(shared: Shared, name: String) {
     let (client, server) = tokio::io::duplex(PIPE_BYTES);
     let peer = SocketAddr::from(CLIENT_ADDRESS);
     spawn_local(serve(server, peer, shared.plane.clone()));
@@ -76,7 +76,7 @@
         }
         tokio::time::sleep(shared.random.millis(0, 150)).await;
     }
-    let surplus = timeout(SURPLUS_TIMEOUT, http.wait_for_data(FOREVER)).await;
+    let surplus = timeout(SURPLUS_TIMEOUT, http.wait_for_data(MAX_WAIT)).await;
     if surplus.is_ok() {
         let last = ClientRequest {
             request_id: name,
@@ -153,7 +153,7 @@
 
 /// Writes the bytes, at times in two pieces.
 async fn write(random: &Random, http: &mut HttpConnection<DuplexStream>, bytes: Vec<u8>) {
-    let deadline = Instant::now() + FOREVER;
+    let deadline = Instant::now() + MAX_WAIT;
     let split = if random.per_mille(SPLIT_PER_MILLE) {
         random.index(bytes.len())
     } else {
@@ -176,14 +176,14 @@
 ) -> Flow {
     let random = &shared.random;
     let (started_at, frozen_before) = (Instant::now(), shared.frozen.get());
-    let patience = if random.per_mille(IMPATIENT_PER_MILLE) {
+    let client_timeout = if random.per_mille(ABANDONED_PER_MILLE) {
         random.millis(1, 200)
     } else {
-        FOREVER
+        MAX_WAIT
     };
-    let Ok(response) = timeout(patience, read_response(http)).await else {
+    let Ok(response) = timeout(client_timeout, read_response(http)).await else {
         let mut checker = shared.checker.borrow_mut();
-        if patience == FOREVER {
+        if client_timeout == MAX_WAIT {
             checker.on_missing_response(request, "time-out");
         } else {
             checker.on_abandoned();
@@ -197,13 +197,13 @@
     };
     let frozen = shared.frozen.get().saturating_sub(frozen_before);
     let allowed = Duration::from_millis(timeout_ms) + RESPONSE_SLACK + frozen;
-    let delay = started_at.elapsed().saturating_sub(allowed);
+    let lateness = started_at.elapsed().saturating_sub(allowed);
     shared.log.add(&Event::ResponseReceived {
         request_id: &request.request_id,
         status: response.head.status(),
         seal: response.head.header("x-replica-seal").unwrap_or(""),
     });
-    checker.on_response(request, &response, delay);
+    checker.on_response(request, &response, lateness);
     if response.head.keeps_alive() {
         Flow::Continue
     } else {
@@ -222,21 +222,21 @@
     format!(
         "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {request_id}\r\nX-Remaining-Ms: {timeout_ms}\r\n\
          {}Content-Length: {}\r\n\r\n{body}",
-        request.identity.lines(),
+        request.identity.header_lines(),
         body.len()
     )
     .into_bytes()
 }
 
 async fn read_response(http: &mut HttpConnection<DuplexStream>) -> Option<ClientResponse> {
-    let deadline = Instant::now() + FOREVER;
+    let deadline = Instant::now() + MAX_WAIT;
     let head = http
         .read_response_head(MAX_RESPONSE_BYTES, deadline)
         .await
         .ok()?;
     let framing = response_framing(&head, BodyPresence::Present).ok()?;
     let body = http
-        .read_body(framing, MAX_RESPONSE_BYTES, FOREVER, Some(deadline))
+        .read_body(framing, MAX_RESPONSE_BYTES, MAX_WAIT, Some(deadline))
         .await
         .ok()?;
     Some(ClientResponse { head, body })
--- a/crates/linenthread-dataplane-sim/src/content.rs
+++ b/crates/linenthread-dataplane-sim/src/content.rs
@@ -9,14 +9,14 @@
 /// Requests for paths with this prefix need no key.
 pub(crate) const PUBLIC_PREFIX: &str = "/open/";
 /// Records that each backend has for a request.
-const RECORDS: u64 = 6;
+const RECORDS_PER_BACKEND: u64 = 6;
 
 /// The body of a backend's response to a request.
 pub(crate) fn response_body(backend: &str, path: &str, request_id: &str) -> Vec<u8> {
     if !path.starts_with(MERGED_PREFIX) {
         return format!("{backend}|{path}|{request_id}").into_bytes();
     }
-    let records = (0..RECORDS).flat_map(|number| {
+    let records = (0..RECORDS_PER_BACKEND).flat_map(|number| {
         [
             hash_words(&[backend, path, request_id], number),
             hash_words(&[request_id, path, backend], number),
--- a/crates/linenthread-dataplane-sim/src/event_log.rs
+++ b/crates/linenthread-dataplane-sim/src/event_log.rs
@@ -151,7 +151,7 @@
     }
 
     /// The execution whose seal this is: a seal ends with its number.
-    pub(crate) fn sealed_by(&self, seal: &str) -> Option<Execution> {
+    pub(crate) fn execution_by_seal(&self, seal: &str) -> Option<Execution> {
         let number: usize = seal.rsplit('.').next()?.parse().ok()?;
         self.0.borrow().executions.get(number).cloned()
     }
--- a/crates/linenthread-dataplane-sim/src/network.rs
+++ b/crates/linenthread-dataplane-sim/src/network.rs
@@ -29,7 +29,7 @@
 }
 
 /// An event on its way to the ingress node.
-struct Arrival {
+struct ScheduledEvent {
     at: Instant,
     event: InboundEvent,
 }
@@ -37,7 +37,7 @@
 /// What comes back on a connection, in the order in which it was sent.
 #[derive(Default)]
 pub struct Inbound {
-    events: VecDeque<Arrival>,
+    events: VecDeque<ScheduledEvent>,
     reader: Option<Waker>,
 }
 
@@ -46,7 +46,7 @@
     pub fn push(&mut self, after: Duration, event: InboundEvent) {
         let at = Instant::now() + after;
         let at = self.events.back().map_or(at, |last| at.max(last.at));
-        self.events.push_back(Arrival { at, event });
+        self.events.push_back(ScheduledEvent { at, event });
         if let Some(reader) = self.reader.take() {
             reader.wake();
         }
@@ -111,7 +111,7 @@
         Ok(MemoryStream {
             inbound: Inbound::default(),
             peer,
-            write: WriteState::Open,
+            write_state: WriteState::Open,
             sleep: None,
         })
     }
@@ -128,7 +128,7 @@
 pub struct MemoryStream {
     inbound: Inbound,
     peer: Box<dyn Peer>,
-    write: WriteState,
+    write_state: WriteState,
     sleep: Option<Pin<Box<Sleep>>>,
 }
 
@@ -146,8 +146,8 @@
 
 impl MemoryStream {
     /// Ready when the next event has arrived.
-    fn poll_arrival(&mut self, context: &mut Context<'_>) -> Poll<()> {
-        let Some(&Arrival { at, .. }) = self.inbound.events.front() else {
+    fn poll_next_event(&mut self, context: &mut Context<'_>) -> Poll<()> {
+        let Some(&ScheduledEvent { at, .. }) = self.inbound.events.front() else {
             self.inbound.reader = Some(context.waker().clone());
             return Poll::Pending;
         };
@@ -168,11 +168,11 @@
         context: &mut Context<'_>,
         to: &mut ReadBuf<'_>,
     ) -> Poll<Result<()>> {
-        if self.poll_arrival(context).is_pending() {
+        if self.poll_next_event(context).is_pending() {
             return Poll::Pending;
         }
         self.sleep = None;
-        let Some(Arrival { event, .. }) = self.inbound.events.front_mut() else {
+        let Some(ScheduledEvent { event, .. }) = self.inbound.events.front_mut() else {
             return Poll::Pending;
         };
         match event {
@@ -197,7 +197,7 @@
         _: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<Result<usize>> {
-        match self.write {
+        match self.write_state {
             WriteState::Failed => return Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe))),
             WriteState::Stalled => return Poll::Pending,
             WriteState::Open => {}
@@ -208,7 +208,7 @@
             WriteFault::FailsAfter(count) => (count.min(bytes.len()), WriteState::Failed),
             WriteFault::StallsAfter(count) => (count.min(bytes.len()), WriteState::Stalled),
         };
-        this.write = next;
+        this.write_state = next;
         this.peer.receive(&bytes[..accepted], &mut this.inbound);
         match (accepted, next) {
             (0, WriteState::Failed) => Poll::Ready(Err(Error::from(ErrorKind::BrokenPipe))),
--- a/crates/linenthread-dataplane-sim/src/replica.rs
+++ b/crates/linenthread-dataplane-sim/src/replica.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TargetCheck {
     Enforced,
-    Missing,
+    Disabled,
 }
 
 /// What the replicas of a simulation share.
--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -13,12 +13,12 @@
 use crate::event_log::Arrival;
 use crate::fault_plan::{RequestFault, SurplusResponse, SurplusTime, Truncation, WriteFault};
 use crate::network::{Inbound, InboundEvent, Peer};
-use crate::tenants::KEY_MARK;
+use crate::tenants::KEY_MARKER;
 
 /// No head and no body of a request is longer, in bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 16;
 /// How soon a reset, or a surplus response, follows a request.
-const PROMPTLY: Duration = Duration::from_millis(1);
+const SHORT_DELAY: Duration = Duration::from_millis(1);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
@@ -35,7 +35,7 @@
     request_id: String,
     path: String,
     target_replica: String,
-    response_body: BodyPresence,
+    response_body_presence: BodyPresence,
 }
 
 /// A replica's end of one connection.
@@ -49,7 +49,7 @@
     idle_timeout: Option<Duration>,
     last_used_at: Instant,
     /// When its last response has arrived, at the earliest.
-    response_due_at: Instant,
+    response_arrives_at: Instant,
 }
 
 impl Connection {
@@ -61,13 +61,14 @@
             surplus: None,
             idle_timeout,
             last_used_at: Instant::now(),
-            response_due_at: Instant::now(),
+            response_arrives_at: Instant::now(),
         }
     }
 
     /// Notes a request on a connection with an unanswered request, or with unread bytes.
-    fn check_use(&self, inbound: &Inbound) {
-        let is_unanswered = self.state == State::Stalled || self.response_due_at > Instant::now();
+    fn check_connection_use(&self, inbound: &Inbound) {
+        let is_unanswered =
+            self.state == State::Stalled || self.response_arrives_at > Instant::now();
         let is_idle = inbound.is_idle();
         if is_unanswered || !is_idle {
             self.replica.log.add_misused_connection(format!(
@@ -78,9 +79,9 @@
     }
 
     /// Notes bytes that show a client's key, or a header that may.
-    fn check_secrecy(&self, bytes: &[u8]) {
+    fn check_for_leaked_key(&self, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes).to_ascii_lowercase();
-        if text.contains(KEY_MARK) || text.contains("authorization") {
+        if text.contains(KEY_MARKER) || text.contains("authorization") {
             let cause = format!("{} received {text:?}", self.replica.id);
             self.replica.log.add_leaked_key(cause);
         }
@@ -109,7 +110,7 @@
             request_id: header("x-attempt-id"),
             path: head.target().to_owned(),
             target_replica: header("x-target-replica"),
-            response_body: head.response_body_presence(),
+            response_body_presence: head.response_body_presence(),
         })
     }
 
@@ -118,10 +119,10 @@
         let replica = self.replica.clone();
         let random = &replica.random;
         if let Some(surplus) = self.surplus.take() {
-            inbound.push_bytes(PROMPTLY, surplus);
+            inbound.push_bytes(SHORT_DELAY, surplus);
         }
         let mut after = replica.remaining_freeze() + random.millis(2, 30);
-        self.response_due_at = Instant::now() + after;
+        self.response_arrives_at = Instant::now() + after;
         let is_misdirected = request.target_replica != replica.id;
         if replica.target_check == TargetCheck::Enforced && is_misdirected {
             let message = misdirection(&replica.id);
@@ -130,7 +131,7 @@
         let fault = replica.faults.request(random);
         if fault == RequestFault::LateResponse {
             after += random.millis(200, 2_500);
-            self.response_due_at = Instant::now() + after;
+            self.response_arrives_at = Instant::now() + after;
         }
         self.respond(request, fault, after, inbound);
     }
@@ -151,7 +152,7 @@
             RequestFault::SurplusResponse(kind, time) => {
                 let response = self.execute(request, request_id);
                 let surplus = self.surplus_response(request, kind, &response);
-                self.respond_twice(response, surplus, time, after, inbound);
+                self.respond_with_surplus(response, surplus, time, after, inbound);
             }
             RequestFault::ResponseWithoutId => {
                 inbound.push_bytes(after, self.execute(request, None));
@@ -183,11 +184,11 @@
                 self.state = State::Stalled;
             }
             RequestFault::Reset { executed } => {
-                self.drop_request(request, executed);
+                self.drop_without_response(request, executed);
                 inbound.push(after, InboundEvent::Reset);
             }
             RequestFault::Closed { executed } => {
-                self.drop_request(request, executed);
+                self.drop_without_response(request, executed);
                 inbound.push(after, InboundEvent::Close);
             }
             RequestFault::ResponseWithoutLength { is_reset } => {
@@ -216,17 +217,17 @@
             let arrived = self.replica.random.index(body.len() + 1);
             bytes.extend_from_slice(&body[..arrived]);
             inbound.push_bytes(after, bytes);
-            inbound.push(PROMPTLY, InboundEvent::Reset);
+            inbound.push(SHORT_DELAY, InboundEvent::Reset);
         } else {
             bytes.extend_from_slice(body);
             inbound.push_bytes(after, bytes);
-            inbound.push(PROMPTLY, InboundEvent::Close);
+            inbound.push(SHORT_DELAY, InboundEvent::Close);
         }
         self.state = State::Dropped;
     }
 
     /// Ends the connection with no response.
-    fn drop_request(&mut self, request: &Request, executed: bool) {
+    fn drop_without_response(&mut self, request: &Request, executed: bool) {
         if executed {
             self.execute(request, None);
         }
@@ -248,7 +249,7 @@
     /// Executes a request; the response, which names this id.
     fn execute(&self, request: &Request, request_id: Option<&str>) -> Vec<u8> {
         let seal = self.replica.execute(&request.request_id, &request.path);
-        let body = match request.response_body {
+        let body = match request.response_body_presence {
             BodyPresence::Present => self.body(request),
             BodyPresence::Absent => Vec::new(),
         };
@@ -300,7 +301,7 @@
         }
     }
 
-    fn respond_twice(
+    fn respond_with_surplus(
         &mut self,
         mut response: Vec<u8>,
         surplus: Vec<u8>,
@@ -327,8 +328,8 @@
     }
 
     fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound) {
-        self.check_use(inbound);
-        self.check_secrecy(bytes);
+        self.check_connection_use(inbound);
+        self.check_for_leaked_key(bytes);
         let idle = Instant::now().saturating_duration_since(self.last_used_at);
         self.last_used_at = Instant::now();
         if self.idle_timeout.is_some_and(|timeout| idle > timeout) {
@@ -337,7 +338,7 @@
         match self.state {
             State::Stalled => return,
             State::Open if self.replica.is_alive() => {}
-            State::Open | State::Dropped => return inbound.push(PROMPTLY, InboundEvent::Reset),
+            State::Open | State::Dropped => return inbound.push(SHORT_DELAY, InboundEvent::Reset),
         }
         self.buffer.extend_from_slice(bytes);
         while let Some(request) = self.next_request() {
--- a/crates/linenthread-dataplane-sim/src/replica_set.rs
+++ b/crates/linenthread-dataplane-sim/src/replica_set.rs
@@ -14,14 +14,14 @@
 /// The port of all replicas.
 const PORT: u16 = 8_080;
 /// A backend that no route names.
-const OTHER_BACKEND: &str = "stranger";
+const UNROUTED_BACKEND: &str = "stranger";
 
 /// The replicas that there are, and how many there have been.
 pub(crate) struct ReplicaSet {
     network: Network,
     environment: Environment,
     replicas: Vec<Rc<Replica>>,
-    started: u32,
+    started_count: u32,
 }
 
 impl ReplicaSet {
@@ -35,7 +35,7 @@
             network,
             environment,
             replicas: Vec::new(),
-            started: 0,
+            started_count: 0,
         };
         let backends = MERGED_BACKENDS.iter().chain([&MUTATING_BACKEND]);
         for (subnet, backend) in (0..).zip(backends) {
@@ -56,9 +56,9 @@
         address: SocketAddr,
         target_check: TargetCheck,
     ) -> Rc<Replica> {
-        self.started += 1;
+        self.started_count += 1;
         let replica = Rc::new(Replica::new(
-            format!("i{}", self.started),
+            format!("i{}", self.started_count),
             backend,
             address,
             target_check,
@@ -71,7 +71,7 @@
 
     /// Hands the data plane the list of all replicas that there are.
     fn publish(&self, plane: &DataPlane<Network>) {
-        let listed: Vec<_> = self.replicas.iter().map(|r| listed(r)).collect();
+        let listed: Vec<_> = self.replicas.iter().map(|r| discovery_entry(r)).collect();
         plane.update_replicas(&listed, UpdateScope::Complete);
     }
 
@@ -103,14 +103,14 @@
         let target_check = if random.per_mille(800) {
             TargetCheck::Enforced
         } else {
-            TargetCheck::Missing
+            TargetCheck::Disabled
         };
         let is_of_other_backend = target_check == TargetCheck::Enforced && random.per_mille(300);
         if !is_of_other_backend {
             self.replicas[index] = self.start_replica(&old.backend, old.address, target_check);
             return;
         }
-        self.start_replica(OTHER_BACKEND, old.address, target_check);
+        self.start_replica(UNROUTED_BACKEND, old.address, target_check);
         // The backend gets its replica back elsewhere.
         let address = self.unused_address(old.address);
         self.replicas[index] = self.start_replica(&old.backend, address, TargetCheck::Enforced);
@@ -122,13 +122,13 @@
             unreachable!("replicas have IPv4 addresses");
         };
         let [a, b, subnet, _] = ip.octets();
-        let host = u8::try_from(10 + self.started % 200).expect("a number below 210");
+        let host = u8::try_from(10 + self.started_count % 200).expect("a number below 210");
         SocketAddr::from(([a, b, subnet, host], PORT))
     }
 }
 
 /// A replica as service discovery lists it.
-fn listed(replica: &Replica) -> linenthread_messages::Replica {
+fn discovery_entry(replica: &Replica) -> linenthread_messages::Replica {
     linenthread_messages::Replica {
         id: replica.id.clone(),
         backend: replica.backend.clone(),
--- a/crates/linenthread-dataplane-sim/src/simulation.rs
+++ b/crates/linenthread-dataplane-sim/src/simulation.rs
@@ -8,7 +8,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 
 use crate::checker::{Checker, Counts, Rule, Violation};
-use crate::client::{Shared, session};
+use crate::client::{Shared, run_session};
 use crate::deployment::{RETRY_ALLOWANCE, configuration, data_plane};
 use crate::event_log::EventLog;
 use crate::fault_plan::FaultPlan;
@@ -95,7 +95,7 @@
         if let Err(e) = session.await {
             let cause = format!("a session panicked: {e}");
             let mut checker = shared.checker.borrow_mut();
-            checker.violation(Rule::CompleteOrDeclared, cause);
+            checker.add_violation(Rule::CompleteOrDeclared, cause);
         }
     }
     background.iter().for_each(JoinHandle::abort);
@@ -111,7 +111,7 @@
 async fn delayed_session(shared: Shared, name: String) {
     let delay = shared.random.millis(0, START_SPREAD_MS);
     tokio::time::sleep(delay).await;
-    session(shared, name).await;
+    run_session(shared, name).await;
 }
 
 /// Stops the process of the ingress node now and then: its clock goes on, and nothing of it runs.
--- a/crates/linenthread-dataplane-sim/src/tenants.rs
+++ b/crates/linenthread-dataplane-sim/src/tenants.rs
@@ -8,14 +8,14 @@
 use crate::random::Random;
 
 /// What every key contains, and nothing else that is sent.
-pub(crate) const KEY_MARK: &str = "secret-key";
+pub(crate) const KEY_MARKER: &str = "secret-key";
 /// The names of the tenants.
 const TENANTS: [&str; 3] = ["acme", "globex", "initech"];
 /// How many keys there are that tenants have at some time.
 const KEY_COUNT: usize = 6;
 
 /// Requests without a key that a tenant may have, per mille.
-const USELESS_CREDENTIALS_PER_MILLE: u64 = 40;
+const INVALID_CREDENTIALS_PER_MILLE: u64 = 40;
 /// Requests that name a tenant by a header of their own, per mille.
 const CLAIMED_TENANT_PER_MILLE: u64 = 200;
 /// Of those, the ones that list that header in `Connection`, per mille.
@@ -45,7 +45,7 @@
 impl Credentials {
     fn draw(random: &Random) -> Credentials {
         let key = KeyIndex(random.index(KEY_COUNT));
-        if !random.per_mille(USELESS_CREDENTIALS_PER_MILLE) {
+        if !random.per_mille(INVALID_CREDENTIALS_PER_MILLE) {
             return Credentials::Key(key);
         }
         random.choose(&[
@@ -57,13 +57,13 @@
     }
 
     /// The header lines.
-    fn lines(self) -> String {
-        let bearer = |key: KeyIndex| format!("Authorization: Bearer {}\r\n", text(key));
+    fn header_lines(self) -> String {
+        let bearer = |key: KeyIndex| format!("Authorization: Bearer {}\r\n", key_text(key));
         match self {
             Credentials::None => String::new(),
             Credentials::Key(key) => bearer(key),
-            Credentials::UnknownKey => format!("Authorization: Bearer {KEY_MARK}-unknown\r\n"),
-            Credentials::OtherScheme(key) => format!("Authorization: Basic {}\r\n", text(key)),
+            Credentials::UnknownKey => format!("Authorization: Bearer {KEY_MARKER}-unknown\r\n"),
+            Credentials::OtherScheme(key) => format!("Authorization: Basic {}\r\n", key_text(key)),
             Credentials::Repeated(key) => bearer(key).repeat(2),
         }
     }
@@ -100,8 +100,8 @@
     }
 
     /// The header lines.
-    pub(crate) fn lines(&self) -> String {
-        let mut lines = self.credentials.lines();
+    pub(crate) fn header_lines(&self) -> String {
+        let mut lines = self.credentials.header_lines();
         if let Some(claimed) = self.claimed {
             lines.push_str(&format!("{}: {}\r\n", claimed.header, claimed.name));
             if claimed.is_named_in_connection {
@@ -156,7 +156,7 @@
         let client = |tenant: &&str| {
             let keys = (0..KEY_COUNT).filter(|&key| owners[key] == Some(*tenant));
             let keys: Vec<_> = keys
-                .map(|key| format!("\"{}\"", text(KeyIndex(key))))
+                .map(|key| format!("\"{}\"", key_text(KeyIndex(key))))
                 .collect();
             format!(
                 r#"{{"label":"{tenant}","credentials":[{}]}}"#,
@@ -193,6 +193,6 @@
     }
 }
 
-fn text(KeyIndex(key): KeyIndex) -> String {
-    format!("{KEY_MARK}-{key}")
+fn key_text(KeyIndex(key): KeyIndex) -> String {
+    format!("{KEY_MARKER}-{key}")
 }
