--- a/crates/linenthread-checker/src/fingerprint.rs
+++ b/crates/linenthread-checker/src/fingerprint.rs
@@ -1,14 +1,14 @@
-//! Fingerprints stand for states in the set of those that were visited.
+//! Fingerprints, which represent states in the set of visited states.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-/// 128 bits of a hash. With a million states, two different ones share a fingerprint with a probability of about 10^-27.
+/// A 128-bit hash. With a million states, the probability that two different ones share a fingerprint is about 10^-27.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// The fingerprint of a value.
+    /// Computes the fingerprint of a value.
     pub fn of(value: &impl Hash) -> Fingerprint {
         let mut hasher = PairHasher::new();
         value.hash(&mut hasher);
@@ -39,7 +39,7 @@
     }
 }
 
-/// A value together with its fingerprint, which is computed once for all states that share the value.
+/// A value with its fingerprint, which is computed once for all states that share the value.
 #[derive(Clone, Debug)]
 pub(crate) struct Fingerprinted<T> {
     value: T,
@@ -56,11 +56,12 @@
         &self.value
     }
 
-    /// To be followed by [`Fingerprinted::refresh`] once all changes are made.
+    /// Returns the value to change. Once all changes are made, [`Fingerprinted::refresh`] must be called.
     pub(crate) fn get_mut(&mut self) -> &mut T {
         &mut self.value
     }
 
+    /// Recomputes the fingerprint after changes through [`Fingerprinted::get_mut`].
     pub(crate) fn refresh(&mut self) {
         self.fingerprint = Fingerprint::of(&self.value);
     }
--- a/crates/linenthread-checker/src/lease.rs
+++ b/crates/linenthread-checker/src/lease.rs
@@ -1,6 +1,6 @@
-//! The leader lease as a model: [`LeaseScenario`].
+//! The model of the leader lease: [`LeaseScenario`].
 //!
-//! `action` has what may happen next, `state` the nodes, their disks and the network, and what an action changes.
+//! `action` defines the actions; `state` defines the nodes, their disks and the network, and how an action changes them.
 
 mod action;
 mod state;
@@ -13,22 +13,22 @@
 pub use action::LeaseAction;
 pub use state::LeaseState;
 
-/// A bounded scenario of three voters, two of which request the lease at any time. Each field says how often something
-/// may happen.
+/// A bounded scenario of three voters, two of which may request the lease at any time. Each field limits how often one
+/// kind of event occurs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseScenario {
-    /// Time passes, on all clocks alike.
+    /// Steps by which all clocks advance together.
     pub steps: u8,
-    /// A node requests the lease or its renewal.
+    /// Requests for the lease or its renewal.
     pub requests: u8,
-    /// A node restarts.
+    /// Restarts of a node.
     pub crashes: u8,
-    /// A node releases the lease.
+    /// Releases of the lease.
     pub releases: u8,
 }
 
 impl LeaseScenario {
-    /// The scenarios that are explored by default, each completely.
+    /// Returns the scenarios that are explored by default. Each of them is small enough to be explored completely.
     pub fn suite() -> Vec<LeaseScenario> {
         vec![
             LeaseScenario {
--- a/crates/linenthread-checker/src/lease/action.rs
+++ b/crates/linenthread-checker/src/lease/action.rs
@@ -1,15 +1,15 @@
-//! What may happen next to the leader lease.
+//! The actions of the lease model.
 
 use crate::node_index::NodeIndex;
 
-/// One thing that may happen next.
+/// A transition of the lease model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// The message at this index of the network is delivered.
+    /// Delivers the message at this index of the network.
     Deliver(usize),
-    /// Time passes on all clocks.
+    /// Advances all clocks by the same amount.
     AdvanceTime,
-    /// A node requests the lease, or its renewal.
+    /// A node requests or renews the lease.
     Request(NodeIndex),
     /// A node restarts.
     Crash(NodeIndex),
--- a/crates/linenthread-checker/src/lease/state.rs
+++ b/crates/linenthread-checker/src/lease/state.rs
@@ -1,4 +1,4 @@
-//! One state of the leader lease at all nodes, and what an action changes.
+//! The state of the lease model, and how each action changes it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,20 +11,20 @@
 use crate::lease::action::LeaseAction;
 use crate::node_index::{NODE_COUNT, NodeIndex};
 
-/// Only the first two nodes request the lease: which two they are makes no difference.
+/// The nodes that request the lease. Any two nodes would do, because the nodes are symmetric.
 const CANDIDATES: [NodeIndex; 2] = [NodeIndex::ALL[0], NodeIndex::ALL[1]];
 
-/// How much time passes at once: less than a lease, more than the interval of its renewal.
+/// Time by which the clocks advance per step: shorter than the lease, longer than its renewal interval.
 const TIME_STEP: Duration = Duration::from_millis(700);
 
-/// The duration that requests ask for, in milliseconds.
+/// Requested lease duration in milliseconds.
 const LEASE_MILLIS: u32 = 2_000;
 
-/// Number of the value whose voters are asked; it does not change.
+/// Number of the value whose voters grant the lease; it does not change.
 const VALUE_NUMBER: ValueNumber = ValueNumber::FIRST;
 
-/// A message of the lease, without the fields that are the same in all: in an order, so that a set of messages has one
-/// representation.
+/// A lease message without the fields that are equal in all messages. It is ordered so that a set of messages has a
+/// unique representation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
     Request {
@@ -79,31 +79,31 @@
     message: Message,
 }
 
-/// One incarnation of a node.
+/// An incarnation of a node that has held the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct HolderIncarnation {
     node: NodeIndex,
     incarnation_count: u64,
 }
 
-/// One state of a [`LeaseScenario`].
+/// A state of a [`LeaseScenario`].
 #[derive(Clone, Debug, Hash)]
 pub struct LeaseState {
     now: Instant,
     leases: [LeaderLease; NODE_COUNT],
     incarnation_counts: [u64; NODE_COUNT],
-    /// The greatest epoch that each disk holds, which is synced before a reply is sent.
+    /// The greatest epoch on the disk of each node. It is synced before a reply is sent.
     durable_epochs: [Epoch; NODE_COUNT],
     network: BTreeSet<InFlight>,
-    /// Who has held the lease, by epoch.
+    /// The incarnations that have held the lease, by epoch.
     holders: BTreeMap<Epoch, BTreeSet<HolderIncarnation>>,
-    /// How often what may still happen.
+    /// The remaining number of events of each kind.
     remaining: LeaseScenario,
     has_restarted: bool,
     was_released: bool,
 }
 
-/// An incarnation that no two incarnations of any nodes share.
+/// Returns an incarnation that is unique across nodes and restarts.
 fn incarnation(node: NodeIndex, count: u64) -> Incarnation {
     Incarnation::new(count * 10 + NodeId::from(node).0)
 }
@@ -130,12 +130,12 @@
         }
     }
 
-    /// The nodes that hold the lease now.
+    /// Returns the nodes that hold the lease at the current time.
     pub(crate) fn current_holders(&self) -> impl Iterator<Item = NodeIndex> {
         self.current_leases().map(|(node, _)| node)
     }
 
-    /// The nodes that hold the lease now, each with the epoch.
+    /// Returns the nodes that hold the lease at the current time, each with its epoch.
     fn current_leases(&self) -> impl Iterator<Item = (NodeIndex, Epoch)> {
         NodeIndex::ALL.into_iter().filter_map(|node| {
             let epoch = self.leases[node.get()].held_epoch(self.now)?;
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Number of the epochs under which the lease has been held.
+    /// Returns the number of epochs in which the lease has been held.
     pub(crate) fn held_epochs(&self) -> usize {
         self.holders.len()
     }
@@ -160,7 +160,7 @@
         self.has_restarted
     }
 
-    /// All enabled actions, in a fixed order.
+    /// Returns all enabled actions, in a fixed order.
     pub(crate) fn enabled_actions(&self) -> Vec<LeaseAction> {
         let LeaseScenario {
             steps,
@@ -184,7 +184,7 @@
         actions
     }
 
-    /// Changes the state by an enabled action.
+    /// Applies an enabled action.
     pub(crate) fn apply(&mut self, action: LeaseAction) {
         match action {
             LeaseAction::Deliver(index) => self.deliver(index),
@@ -241,7 +241,8 @@
 
     fn deliver(&mut self, index: usize) {
         let in_flight = self.network.iter().nth(index);
-        let InFlight { to, from, message } = in_flight.expect("it is in flight").clone();
+        let InFlight { to, from, message } =
+            in_flight.expect("the index of a message in flight").clone();
         self.network.remove(&InFlight {
             to,
             from,
@@ -290,7 +291,7 @@
         });
     }
 
-    /// A connection ends with the process at its end: messages in flight to the node or from it are lost.
+    /// Restarts a node. Its connections break, so messages in flight to or from the node are lost.
     fn crash(&mut self, node: NodeIndex) {
         self.has_restarted = true;
         let count = &mut self.incarnation_counts[node.get()];
@@ -327,7 +328,8 @@
         }
     }
 
-    /// Replies to a request that is over have no effect, now or later: states that differ in them alone are one state.
+    /// Removes replies to requests that are no longer pending. They have no effect now or later, so states that differ
+    /// only in such replies are merged.
     fn discard_ineffective_replies(&mut self) {
         let (now, leases) = (self.now, &self.leases);
         self.network.retain(|in_flight| {
@@ -357,7 +359,7 @@
         });
     }
 
-    /// An action as a line of a trace.
+    /// Formats an action as a line of a trace.
     pub(crate) fn describe(&self, action: LeaseAction) -> String {
         match action {
             LeaseAction::Deliver(index) => match self.network.iter().nth(index) {
--- a/crates/linenthread-checker/src/lib.rs
+++ b/crates/linenthread-checker/src/lib.rs
@@ -1,20 +1,21 @@
-//! Exhaustive checks of the consensus: every interleaving of bounded scenarios, over the very state machines that the
-//! daemons run ([`linenthread_consensus::Register`], [`linenthread_consensus::LeaderLease`]).
+//! Exhaustive model checker for the consensus. It explores every interleaving of bounded scenarios, using the same state
+//! machines as the daemons ([`linenthread_consensus::Register`], [`linenthread_consensus::LeaderLease`]).
 //!
-//! A message in flight may be delivered at any time or never, which covers loss, delay and reordering. Time is abstract:
-//! a tick moves a node's clock past every time-out. The invariants are those of `docs/control-orders.md`.
+//! A message in flight may be delivered at any time or never, which covers loss, delay and reordering. Time is abstract
+//! in the register model: a tick advances the clock of a node past every time-out. The invariants are those of
+//! `docs/control-orders.md`.
 //!
-//! This package knows nothing of the control node around the state machines, of sessions, or of real disks; for those
-//! see the simulation of the whole system. Start reading at [`Model`] and [`explore`], then at [`Scenario`].
+//! Neither the rest of the control node nor sessions or real disks are modelled; the simulation of the whole system
+//! covers them. The entry points are [`Model`] and [`explore`]; [`Scenario`] is the main model.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `model` | what can be explored |
+//! | `model` | the trait of models that can be explored |
 //! | `search` | breadth-first search over the states of a model |
-//! | `fingerprint` | what stands for a state in the set of the visited ones |
+//! | `fingerprint` | hashes that represent states in the set of visited states |
 //! | `node_index` | the nodes of a model |
-//! | `register` | the register as a model: [`Scenario`] |
-//! | `lease` | the leader lease as a model: [`LeaseScenario`] |
+//! | `register` | the model of the register: [`Scenario`] |
+//! | `lease` | the model of the leader lease: [`LeaseScenario`] |
 
 mod fingerprint;
 mod lease;
--- a/crates/linenthread-checker/src/main.rs
+++ b/crates/linenthread-checker/src/main.rs
@@ -1,5 +1,5 @@
-//! Explores scenarios of the consensus and prints what it found. Exits with 1 if an invariant is violated, with 2 if
-//! the command line is wrong.
+//! Explores scenarios of the consensus and prints a report of each. The exit code is 1 if an invariant is violated, and 2
+//! if the command line is invalid or the report cannot be written.
 
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -10,26 +10,26 @@
 };
 use linenthread_console::{CLOSED_OUTPUT_EXIT_CODE, is_closed_output};
 
-/// A state takes about 2 KB while it waits to be expanded.
+/// Limits memory use: a state that is not expanded yet takes about 2 KB.
 const DEFAULT_MAX_STATES: usize = 1_500_000;
 
 mod flags {
     xflags::xflags! {
         /// Explores every interleaving of bounded scenarios of the consensus
         cmd linenthread-checker {
-            /// Calls as NODE:CALL,...; call is a, b, c, replace or read. Without them the whole suite is explored
+            /// Calls as NODE:CALL,... where CALL is a, b, c, replace or read; without calls, the whole suite is explored
             optional --calls calls: String
-            /// How many ticks there are, of any nodes
+            /// Maximum number of ticks, over all nodes
             optional --ticks count: u8
-            /// How many messages are delivered twice
+            /// Maximum number of messages that are delivered twice
             optional --duplicates count: u8
-            /// How many nodes restart from their disk
+            /// Maximum number of restarts from disk, over all nodes
             optional --crashes count: u8
-            /// How many nodes lose their disk, 0 or 1
+            /// Maximum number of nodes that lose their disk, 0 or 1
             optional --lost-disks count: u8
-            /// Records are synced some time after they were written
+            /// Sync records at any time after they were written, instead of immediately
             optional --slow-disks
-            /// The search ends when so many states were visited
+            /// Number of visited states after which the search ends
             optional --max-states count: usize
         }
     }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The scenario of the command line, or the suite.
+/// Returns the scenario given by the flags, or the suite if no calls are given.
 fn scenarios(flags: &flags::LinenthreadChecker) -> Result<Vec<Scenario>, ParseCallError> {
     let Some(calls) = &flags.calls else {
         return Ok(Scenario::suite());
@@ -81,7 +81,7 @@
     }])
 }
 
-/// Explores models one after another, prints a report of each, and sums them up.
+/// Explores models one after another, prints a report of each, and counts states and violations over all of them.
 struct Checker<W> {
     output: W,
     max_states: usize,
--- a/crates/linenthread-checker/src/model.rs
+++ b/crates/linenthread-checker/src/model.rs
@@ -1,36 +1,37 @@
-//! What can be explored.
+//! The trait of models that [`explore`](crate::explore) can search.
 
 use std::fmt;
 
 use crate::fingerprint::Fingerprint;
 
-/// A bounded model: an initial state, and the actions that lead from one state to the next.
+/// A bounded model: an initial state and the actions that lead from one state to the next.
 ///
-/// Its `Display` form is one line that says which model it is.
+/// Its `Display` form is a single line that identifies the model.
 pub trait Model: fmt::Display + Sync {
-    /// One state of everything that the model contains.
+    /// A state of the complete model.
     type State: Send + Sync;
-    /// One thing that may happen next. Small, since the search keeps one for each state that it has visited.
+    /// A transition from one state to the next. It should be small, because the search stores one per visited state.
     type Action: Copy + Send + Sync;
 
-    /// The state in which each run begins.
+    /// Returns the state in which every execution starts.
     fn initial_state(&self) -> Self::State;
 
-    /// What stands for a state in the set of the visited ones.
+    /// Returns the fingerprint that represents a state in the set of visited states.
     fn fingerprint(&self, state: &Self::State) -> Fingerprint;
 
-    /// All actions that are enabled in a state, in a fixed order.
+    /// Returns all actions that are enabled in a state, in a fixed order.
     fn enabled_actions(&self, state: &Self::State) -> Vec<Self::Action>;
 
-    /// The state after an enabled action.
+    /// Returns the state after an enabled action.
     fn apply(&self, state: &Self::State, action: Self::Action) -> Self::State;
 
-    /// The names of the invariants that a state violates.
+    /// Returns the names of the invariants that a state violates.
     fn violated_invariants(&self, state: &Self::State) -> Vec<&'static str>;
 
-    /// The names of the interesting situations that a state is in. A search that reaches none of them checks little.
+    /// Returns the names of the situations of interest that hold in a state. They show coverage: a search that reaches none
+    /// of them checks little.
     fn situations(&self, state: &Self::State) -> Vec<&'static str>;
 
-    /// An action as a line of a trace.
+    /// Formats an action that is enabled in a state as a line of a trace.
     fn describe(&self, state: &Self::State, action: Self::Action) -> String;
 }
--- a/crates/linenthread-checker/src/register.rs
+++ b/crates/linenthread-checker/src/register.rs
@@ -1,14 +1,14 @@
-//! The register as a model: [`Scenario`].
+//! The model of the register: [`Scenario`].
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `scenario` | what is explored: calls, and how often what may happen |
-//! | `state` | one state of all nodes, their disks and the network |
-//! | `history` | what has happened so far that later states are judged by |
+//! | `scenario` | the calls, and the limits on other events |
+//! | `state` | the state of all nodes, their disks and the network |
+//! | `history` | past events that the invariants refer to |
 //! | `action` | the actions that are enabled in a state |
-//! | `transition` | the state after an action |
-//! | `obsolete` | messages that cannot have an effect any more |
-//! | `invariants` | what must hold in each state |
+//! | `transition` | applies actions to states |
+//! | `obsolete` | discards messages that can no longer have an effect |
+//! | `invariants` | the invariants of each state |
 
 mod action;
 mod history;
--- a/crates/linenthread-checker/src/register/action.rs
+++ b/crates/linenthread-checker/src/register/action.rs
@@ -1,4 +1,4 @@
-//! The actions that are enabled in a state.
+//! The actions of the register model, and which of them are enabled in a state.
 
 use linenthread_messages::PeerMessage;
 
@@ -6,26 +6,26 @@
 use crate::register::scenario::Scenario;
 use crate::register::state::SystemState;
 
-/// One thing that may happen next.
+/// A transition of the register model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The message at this index of the network is delivered.
+    /// Delivers the message at this index of the network.
     Deliver(u16),
-    /// The message at this index of the network is delivered, and will be once more.
+    /// Delivers the message at this index of the network and keeps it in flight, so that it can be delivered again.
     DeliverAndDuplicate(u16),
-    /// The call of this index is made.
+    /// Makes the call at this index of the scenario.
     MakeCall(u8),
-    /// A node's clock moves past every time-out.
+    /// Advances the clock of a node past every time-out.
     Tick(NodeIndex),
-    /// A node's oldest unsynced record is synced.
+    /// Syncs the oldest unsynced record of a node.
     Sync(NodeIndex),
-    /// A node restarts from its disk.
+    /// Restarts a node from its disk.
     Crash(NodeIndex),
-    /// A node restarts with an empty disk.
+    /// Restarts a node with an empty disk.
     LoseDisk(NodeIndex),
 }
 
-/// All enabled actions, in a fixed order.
+/// Returns all enabled actions, in a fixed order.
 pub(crate) fn enabled_actions(state: &SystemState, scenario: &Scenario) -> Vec<Action> {
     let mut actions = Vec::new();
     for (index, message) in (0..).zip(&state.network) {
@@ -57,12 +57,12 @@
         .map(|(_, action)| action)
 }
 
-/// A reply is counted once for its sender anyway, so only requests are duplicated.
+/// Reports whether a duplicate can have an effect. Replies are counted once per sender, so only requests are duplicated.
 fn is_duplicate_relevant(message: &PeerMessage) -> bool {
     matches!(message, PeerMessage::Prepare(_) | PeerMessage::Accept(_))
 }
 
-/// An action as a line of a trace.
+/// Formats an action as a line of a trace.
 pub(crate) fn describe(state: &SystemState, scenario: &Scenario, action: Action) -> String {
     let delivery = |index: u16| {
         let message = &state.network[usize::from(index)];
--- a/crates/linenthread-checker/src/register/history.rs
+++ b/crates/linenthread-checker/src/register/history.rs
@@ -1,34 +1,34 @@
-//! What has happened so far that later states are judged by.
+//! Past events that the invariants refer to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use linenthread_consensus::{JobId, NodeId, ValueNumber};
 use linenthread_messages::{Ballot, OrderIdentity, Value};
 
-/// The decided values, and what callers were told.
+/// The decided values, and the outcomes that callers received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct History {
-    /// Each value that some node took for decided, by number.
+    /// The first value that a node considered decided under each number.
     decided: BTreeMap<ValueNumber, Value>,
-    /// Two nodes took different values under one number for decided.
+    /// Whether different values were considered decided under the same number.
     has_conflicting_values: bool,
-    /// A node took a value for decided that no majority of its voters had accepted.
+    /// Whether a node considered a value decided that no majority of its voters had accepted.
     has_minority_decision: bool,
-    /// The voters that have synced an acceptance, by number and ballot, for numbers that are not decided.
+    /// The nodes that have synced an acceptance, by number and ballot, for numbers without a decided value.
     accepted_by: BTreeMap<(ValueNumber, Ballot), BTreeSet<NodeId>>,
     acknowledged: Vec<OrderIdentity>,
     rejected: Vec<OrderIdentity>,
-    /// The greatest number of a value that a caller was told of.
+    /// The greatest number of a value that was reported to a caller.
     newest_reported: ValueNumber,
-    /// `newest_reported` as of when each pending read was submitted.
+    /// The value of `newest_reported` when each pending read was submitted.
     minimum_read_numbers: BTreeMap<JobId, ValueNumber>,
-    /// A read returned a value older than one that was reported before it was submitted.
+    /// Whether a read returned a value older than one that was reported before the read was submitted.
     has_stale_read: bool,
     completed_reads: u8,
 }
 
 impl History {
-    /// The history of nodes that all start with this value.
+    /// Creates the history of nodes that all start with `genesis` as their decided value.
     pub(crate) fn new(genesis: Value) -> History {
         History {
             decided: BTreeMap::from([(ValueNumber::of(&genesis), genesis)]),
@@ -60,12 +60,13 @@
         self.completed_reads
     }
 
-    /// Whether a change of the voters was decided.
+    /// Reports whether a voter change was decided.
     pub(crate) fn has_voter_change(&self) -> bool {
         self.decided.values().any(|value| value.epoch > 0)
     }
 
-    /// The accepted orders: those of the newest value, since no scenario has so many that they leave it.
+    /// Returns the accepted orders. The newest value lists all of them, because no scenario has enough orders for older
+    /// ones to be dropped from it.
     pub(crate) fn accepted_orders(&self) -> &[OrderIdentity] {
         self.decided
             .last_key_value()
@@ -76,12 +77,12 @@
         self.decided.contains_key(&number)
     }
 
-    /// Whether [`History::record_decided`] would change anything.
+    /// Reports whether this value is recorded as decided, so that [`History::record_decided`] would not change anything.
     pub(crate) fn is_decided_value(&self, value: &Value) -> bool {
         self.decided.get(&ValueNumber::of(value)) == Some(value)
     }
 
-    /// A voter has synced an acceptance.
+    /// Records that a voter synced an acceptance.
     pub(crate) fn record_accepted(&mut self, number: ValueNumber, ballot: Ballot, voter: NodeId) {
         self.accepted_by
             .entry((number, ballot))
@@ -89,7 +90,7 @@
             .insert(voter);
     }
 
-    /// A node takes a value for decided.
+    /// Records that a node considers a value decided.
     pub(crate) fn record_decided(&mut self, value: &Value) {
         let number = ValueNumber::of(value);
         if self.is_decided(number) {
@@ -102,7 +103,8 @@
         self.decided.insert(number, value.clone());
     }
 
-    /// Whether, under some ballot, a majority of the voters of the value before has accepted a value of this number.
+    /// Reports whether a majority of the voters of the preceding value accepted a value with this number under a single
+    /// ballot.
     fn is_accepted_by_majority(&self, number: ValueNumber) -> bool {
         let precedes = |value: &&Value| ValueNumber::of(value).next() == number;
         let Some(previous) = self.decided.values().find(precedes) else {
@@ -123,7 +125,7 @@
             })
     }
 
-    /// A caller was told that its order is committed.
+    /// Records that an order was reported to its caller as committed.
     pub(crate) fn record_acknowledged(&mut self, order: OrderIdentity) {
         if !self.acknowledged.contains(&order) {
             self.acknowledged.push(order);
@@ -138,23 +140,23 @@
         self.newest_reported = self.newest_reported.max(first_number);
     }
 
-    /// A caller was told that its order conflicts.
+    /// Records that an order was reported to its caller as conflicting.
     pub(crate) fn record_rejected(&mut self, order: OrderIdentity) {
         if !self.rejected.contains(&order) {
             self.rejected.push(order);
         }
     }
 
-    /// A read was submitted.
+    /// Records that a read was submitted.
     pub(crate) fn record_read_submitted(&mut self, job: JobId) {
         self.minimum_read_numbers.insert(job, self.newest_reported);
     }
 
-    /// A read returned a value.
+    /// Records that a read returned a value.
     pub(crate) fn record_read(&mut self, job: JobId, value: &Value) {
         let number = ValueNumber::of(value);
-        let floor = self.minimum_read_numbers.remove(&job);
-        self.has_stale_read |= floor.is_some_and(|floor| number < floor);
+        let minimum = self.minimum_read_numbers.remove(&job);
+        self.has_stale_read |= minimum.is_some_and(|minimum| number < minimum);
         self.newest_reported = self.newest_reported.max(number);
         self.completed_reads += 1;
     }
--- a/crates/linenthread-checker/src/register/invariants.rs
+++ b/crates/linenthread-checker/src/register/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold in each state. The names are those of `docs/control-orders.md`.
+//! The invariants of each state, named as in `docs/control-orders.md`.
 
 use linenthread_messages::OrderIdentity;
 
@@ -41,7 +41,7 @@
     },
 ];
 
-/// The names of the invariants that a state violates.
+/// Returns the names of the invariants that a state violates.
 pub(crate) fn violated_invariants(state: &SystemState) -> impl Iterator<Item = &'static str> {
     INVARIANTS
         .iter()
@@ -69,7 +69,7 @@
     })
 }
 
-/// Also an order that is accepted only after it was rejected.
+/// Also covers an order that is accepted only after it was rejected.
 fn rejects_accepted_order(history: &History) -> bool {
     let accepted = history.accepted_orders();
     history
@@ -78,7 +78,7 @@
         .any(|order| accepted.contains(order))
 }
 
-/// A node lacks an order whose revision is not above the one of its newest value.
+/// Reports whether some node lacks an accepted order whose revision is at most that of its newest value.
 fn has_node_without_accepted_order(state: &SystemState) -> bool {
     let accepted = state.history().accepted_orders();
     state.nodes().any(|node| {
--- a/crates/linenthread-checker/src/register/obsolete.rs
+++ b/crates/linenthread-checker/src/register/obsolete.rs
@@ -1,6 +1,6 @@
-//! Messages that cannot have an effect any more.
+//! Discards messages that can no longer have an effect.
 //!
-//! They are taken out of the network, so that states which differ in them alone are one state.
+//! They are removed from the network so that states that differ only in such messages are merged.
 
 use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::PeerMessage;
@@ -8,7 +8,7 @@
 use crate::node_index::NodeIndex;
 use crate::register::state::{InFlight, Node, SystemState};
 
-/// Discards the obsolete messages, after a node has acted.
+/// Discards obsolete messages after an action of a node.
 pub(crate) fn discard(state: &mut SystemState, acting_node: NodeIndex) {
     let mut network = std::mem::take(&mut state.network);
     let acted = state.node(acting_node);
@@ -20,14 +20,14 @@
     state.network = network;
 }
 
-/// Number of the newest value of the node with this identity.
+/// Returns the number of the newest value of the node with this identity.
 fn newest_number(state: &SystemState, id: NodeId) -> Option<ValueNumber> {
     let node = state.nodes().find(|node| node.id == id)?;
     node.register.decided().map(ValueNumber::of)
 }
 
-/// The receiver has a value of the message's number. A request would be answered by that value, and is obsolete only if
-/// its sender has it as well.
+/// Reports whether the receiver has a decided value with the number of the message or a greater one. It would answer a
+/// request with its newest value, so a request is obsolete only if its sender has a value at least as new.
 fn is_about_decided_number(state: &SystemState, message: &InFlight) -> bool {
     let receiver = newest_number(state, message.to);
     let receiver_has = |number| receiver >= Some(ValueNumber::new(number));
@@ -43,7 +43,7 @@
     }
 }
 
-/// The reply belongs to a round that is over, and changes nothing at its receiver.
+/// Reports whether a message is a reply that the receiver would ignore, because it belongs to a round that has ended.
 fn is_ignored_reply(receiver: &Node, message: &InFlight) -> bool {
     let is_reply = matches!(
         message.message,
--- a/crates/linenthread-checker/src/register/scenario.rs
+++ b/crates/linenthread-checker/src/register/scenario.rs
@@ -1,4 +1,4 @@
-//! What is explored of the register: calls, and how often what may happen.
+//! Scenarios of the register model: the calls, and the limits on other events.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,24 +9,24 @@
 
 use crate::node_index::NodeIndex;
 
-/// A call that some caller makes.
+/// A call to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Call {
-    /// An order: revision 1 on base 0.
+    /// An order for revision 1 on base 0.
     OrderA,
-    /// A competing order: revision 1 on base 0, with another document.
+    /// A competing order for revision 1 on base 0, with a different document.
     OrderB,
-    /// An order on top: revision 2 on base 1.
+    /// An order for revision 2 on base 1, which follows on revision 1.
     OrderC,
-    /// A change of the voters: the node with the spare disk in place of the one that lost its disk, or of the third
-    /// one.
+    /// A voter change. The identity of the spare disk replaces that of the lost disk, or the third initial identity if no
+    /// disk is lost.
     ReplaceVoter,
     /// A read of the newest value.
     Read,
 }
 
 impl Call {
-    /// The order's identity and document, if the call is an order.
+    /// Returns the identity and the document of an order; `None` for other calls.
     fn order_and_document(self) -> Option<(OrderIdentity, &'static str)> {
         let (base, revision, document) = match self {
             Call::OrderA => (0, 1, "a"),
@@ -42,12 +42,12 @@
         Some((identity, document))
     }
 
-    /// The order's identity, if the call is an order.
+    /// Returns the identity of an order; `None` for other calls.
     pub(crate) fn order(self) -> Option<OrderIdentity> {
         self.order_and_document().map(|(identity, _)| identity)
     }
 
-    /// The change to propose, if the call is an order.
+    /// Returns the change that an order proposes; `None` for other calls.
     pub(crate) fn change(self) -> Option<Change> {
         let (identity, document) = self.order_and_document()?;
         Some(Change::Order(Order {
@@ -79,19 +79,19 @@
     }
 }
 
-/// A call and the node that receives it, written as `NODE:CALL`.
+/// A call and the node that receives it. Its text form is `NODE:CALL`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ScheduledCall {
-    /// The node.
+    /// The node that receives the call.
     pub node: NodeIndex,
-    /// The call.
+    /// The call to make.
     pub call: Call,
 }
 
-/// The text is not of the form `NODE:CALL`.
+/// An error for text that is not of the form `NODE:CALL`.
 #[derive(Debug, Snafu)]
 #[snafu(display(
-    "{text:?} is no call: NODE:CALL expected, with node 1 to 3 and call a, b, c, replace or read"
+    "invalid call {text:?}: expected NODE:CALL with node 1 to 3 and call a, b, c, replace or read"
 ))]
 pub struct ParseCallError {
     text: String,
@@ -117,33 +117,33 @@
     }
 }
 
-/// How often each kind of event may happen, at any node and any time.
+/// Limits how often each kind of event occurs, at any node and any time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct EventBudget {
-    /// Ticks that move a node's clock past every time-out.
+    /// Ticks, each of which advances the clock of one node past every time-out.
     pub ticks: u8,
     /// Messages that are delivered twice.
     pub duplicates: u8,
     /// Restarts from the disk.
     pub crashes: u8,
-    /// Restarts with an empty disk; at most 1, since there is one spare disk.
+    /// Restarts with an empty disk. At most 1, because there is only one spare disk.
     pub lost_disks: u8,
 }
 
-/// A bounded scenario of three voters and one spare disk.
+/// A bounded scenario of the register with three voters and one spare disk.
 #[derive(Clone, Debug, Default)]
 pub struct Scenario {
-    /// Each call is made once, at any time.
+    /// The calls, each of which is made at most once, at any time.
     pub calls: Vec<ScheduledCall>,
-    /// What else may happen.
+    /// Limits on the other events.
     pub budget: EventBudget,
-    /// Whether a record is synced at any time after it was written, or never if the node restarts before; otherwise
-    /// it is synced at once.
+    /// Whether records are synced at any time after they were written, or never if the node restarts before that.
+    /// Otherwise they are synced immediately.
     pub slow_disks: bool,
 }
 
 impl Scenario {
-    /// The scenarios that are explored by default, each completely.
+    /// Returns the scenarios that are explored by default. Each of them is small enough to be explored completely.
     pub fn suite() -> Vec<Scenario> {
         let crash = || EventBudget {
             crashes: 1,
@@ -181,10 +181,10 @@
         }
     }
 
-    /// Calls separated by commas: `1:a,2:b,3:read`.
+    /// Parses calls separated by commas, such as `1:a,2:b,3:read`.
     ///
     /// # Errors
-    /// One of them is not of the form `NODE:CALL`.
+    /// Fails if one of them is not of the form `NODE:CALL`.
     pub fn parse_calls(list: &str) -> Result<Vec<ScheduledCall>, ParseCallError> {
         list.split(',').map(str::parse).collect()
     }
--- a/crates/linenthread-checker/src/register/state.rs
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -1,4 +1,4 @@
-//! One state of all nodes, their disks and the network.
+//! The state of the register model: all nodes, their disks and the network.
 
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 use crate::register::history::History;
 use crate::register::scenario::{EventBudget, Scenario};
 
-/// The identities of the nodes at first: they are the voters of value 0.
+/// Initial identities of the nodes, which are the voters of value 0.
 const INITIAL_IDS: [NodeId; NODE_COUNT] = [NodeId(1), NodeId(2), NodeId(3)];
 
-/// The identity of a node whose lost disk was replaced by the spare one.
+/// Identity of a node whose lost disk was replaced by the spare disk.
 const SPARE_DISK_ID: NodeId = NodeId(4);
 
-/// Stands for the sender of a message where the sender makes no difference.
+/// Placeholder for the sender of a message whose sender makes no difference.
 const ANY_SENDER: NodeId = NodeId(0);
 
-/// An incarnation that no two incarnations of any nodes share. Their count is in the upper half, since read identities
-/// begin with it.
+/// Returns an incarnation that is unique across nodes and restarts. The count is in the upper half, because read ids are
+/// derived from the upper bits of the incarnation only.
 fn incarnation(id: NodeId, count: u64) -> Incarnation {
     Incarnation::new(count << 32 | id.0)
 }
@@ -35,21 +35,21 @@
     }
 }
 
-/// A record that is not synced yet, with what waits for it.
+/// A record that is not synced yet, and the effects that are deferred until it is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct UnsyncedRecord {
     pub(crate) record: Record,
     pub(crate) after_sync: Vec<DeferredEffect>,
 }
 
-/// What waits until a record is synced.
+/// An effect that is deferred until a record is synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum DeferredEffect {
     Message(Box<InFlight>),
     RecordSynced(SyncedRecord),
 }
 
-/// A node: what it has in memory, and what its disk holds.
+/// A node: its state in memory and the contents of its disk.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Node {
     pub(crate) id: NodeId,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Restarts the process; what was not synced is lost.
+    /// Restarts the process. Unsynced records are lost.
     pub(crate) fn restart(&mut self) {
         self.incarnation_count += 1;
         self.unsynced.clear();
@@ -80,7 +80,7 @@
         self.register = Register::new(self.id, self.disk.clone(), None, incarnation);
     }
 
-    /// Restarts the process with the spare disk, which is empty.
+    /// Restarts the process with the empty spare disk.
     pub(crate) fn replace_disk(&mut self) {
         *self = Node {
             now: self.now,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A message in flight; a second copy of the same one makes no difference.
+/// A message in flight. The network holds at most one copy of equal messages.
 #[derive(Clone, Debug)]
 pub(crate) struct InFlight {
     pub(crate) to: NodeId,
@@ -101,7 +101,7 @@
 
 impl InFlight {
     pub(crate) fn new(from: NodeId, to: NodeId, message: PeerMessage) -> InFlight {
-        // It makes no difference who announces a decided value.
+        // Receivers ignore the sender of a decided value, so states that differ only in the sender are merged.
         let from = if matches!(message, PeerMessage::Decided(_)) {
             ANY_SENDER
         } else {
@@ -140,16 +140,16 @@
     }
 }
 
-/// One state of a [`Scenario`]. Parts that an action does not change are shared with the state before it.
+/// A state of a [`Scenario`]. Parts that an action does not change are shared with the previous state.
 #[derive(Clone, Debug, Hash)]
 pub struct SystemState {
     nodes: [Arc<Fingerprinted<Node>>; NODE_COUNT],
-    /// Sorted, so that equal networks compare equal.
+    /// Sorted, so that networks with the same messages are equal.
     pub(crate) network: Vec<Arc<InFlight>>,
     history: Arc<Fingerprinted<History>>,
-    /// How often what may still happen.
+    /// The remaining number of events of each kind.
     pub(crate) budget: EventBudget,
-    /// The calls that were not made yet, one bit each.
+    /// Bit mask of the calls that were not made yet, by index in the scenario.
     pending_calls: u32,
     /// The identity of the disk that was lost.
     lost_disk: Option<NodeId>,
@@ -184,11 +184,12 @@
         self.nodes[node.get()].get()
     }
 
-    /// To be followed by [`SystemState::refresh`] once all changes of the node are made.
+    /// Returns a node to change. Once all changes are made, [`SystemState::refresh`] must be called.
     pub(crate) fn node_mut(&mut self, node: NodeIndex) -> &mut Node {
         Arc::make_mut(&mut self.nodes[node.get()]).get_mut()
     }
 
+    /// Updates the fingerprint of a node after changes through [`SystemState::node_mut`].
     pub(crate) fn refresh(&mut self, node: NodeIndex) {
         Arc::make_mut(&mut self.nodes[node.get()]).refresh();
     }
@@ -197,7 +198,7 @@
         self.nodes.iter().map(|node| node.get())
     }
 
-    /// The node whose disk has this identity.
+    /// Returns the node with this identity; `None` if the disk with it was lost or is not in use.
     pub(crate) fn find_node(&self, id: NodeId) -> Option<NodeIndex> {
         NodeIndex::ALL
             .into_iter()
@@ -222,7 +223,7 @@
         self.pending_calls &= !(1 << call);
     }
 
-    /// Puts a message into the network, unless the same one is in flight.
+    /// Adds a message to the network unless an equal one is in flight.
     pub(crate) fn send(&mut self, message: InFlight) {
         if let Err(index) = self
             .network
@@ -232,7 +233,8 @@
         }
     }
 
-    /// A node loses its disk, and with it its identity: messages to that are lost as well.
+    /// Replaces the disk of a node by the spare one. The node loses its identity, so messages to the old identity are lost
+    /// as well.
     pub(crate) fn lose_disk(&mut self, node: NodeIndex) {
         let lost = self.node(node).id;
         self.lost_disk = Some(lost);
@@ -240,7 +242,8 @@
         self.network.retain(|message| message.to != lost);
     }
 
-    /// The voters with the spare disk in place of the lost one, or of the third one if none is lost.
+    /// Returns the voters with the identity of the lost disk replaced by that of the spare disk. If no disk is lost, the
+    /// third initial identity is replaced.
     pub(crate) fn with_replaced_voter(&self, voters: &[Voter]) -> Vec<Voter> {
         let [.., third] = INITIAL_IDS;
         let lost = self.lost_disk.unwrap_or(third);
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -1,4 +1,4 @@
-//! The state after an action.
+//! Applies actions to states.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use crate::register::scenario::{Call, Scenario};
 use crate::register::state::{DeferredEffect, InFlight, SystemState, UnsyncedRecord};
 
-/// A tick moves a node's clock by this much, past every time-out.
+/// Time by which a tick advances the clock of a node; longer than every time-out.
 const TICK: Duration = Duration::from_secs(2);
 
-/// Jobs have no deadline: reaching one would only leave their outcome unknown.
+/// Deadline of jobs. They have none, because reaching it would only leave their outcome unknown.
 const DEADLINE: Instant = Instant::NEVER;
 
-/// The epoch of the lease under which the voters are changed.
+/// Epoch of the leader lease under which the voters are changed.
 const LEASE_EPOCH: Epoch = Epoch::FIRST;
 
-/// The state after an enabled action.
+/// Returns the state after an enabled action.
 pub(crate) fn apply(state: &SystemState, scenario: &Scenario, action: Action) -> SystemState {
     let mut transition = Transition {
         state: state.clone(),
@@ -41,7 +41,7 @@
 struct Transition<'a> {
     state: SystemState,
     scenario: &'a Scenario,
-    /// What the acting node tells itself, at once.
+    /// Events that the acting node sends to itself. They are handled within the same action.
     loopback: VecDeque<Loopback>,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Transition<'_> {
-    /// Returns the node that acted.
+    /// Performs the action and returns the node that acted.
     fn run(&mut self, action: Action) -> NodeIndex {
         match action {
             Action::Deliver(index) => {
@@ -89,7 +89,7 @@
         let receiver = self
             .state
             .find_node(message.to)
-            .expect("messages to lost disks are not in flight");
+            .expect("messages to a lost disk are not in flight");
         let mut effects = Vec::new();
         let node = self.state.node_mut(receiver);
         node.register.on_message(
@@ -122,7 +122,7 @@
         scheduled.node
     }
 
-    /// The change that a call proposes at a node; none for a read.
+    /// Returns the change that a call proposes at a node; `None` for a read.
     fn proposed_change(&self, call: Call, node: NodeIndex) -> Option<Change> {
         if call != Call::ReplaceVoter {
             return call.change();
@@ -155,7 +155,7 @@
         self.deliver_loopback(node);
     }
 
-    /// Handles what the acting node tells itself, until nothing is left.
+    /// Handles the events that the acting node sends to itself until none are left.
     fn deliver_loopback(&mut self, node: NodeIndex) {
         while let Some(event) = self.loopback.pop_front() {
             let mut effects = Vec::new();
@@ -198,7 +198,7 @@
                     InFlight::new(from, to, message),
                 ))),
                 AfterSync::RecordSynced(synced) => Some(DeferredEffect::RecordSynced(synced)),
-                // No register asks for it.
+                // The register never requests these.
                 AfterSync::EpochSynced(_) | AfterSync::SnapshotSynced(_) => None,
             })
             .collect();
@@ -224,8 +224,8 @@
                 .update_history(|history| history.record_accepted(number, accepted.ballot, id));
         }
         self.state.node_mut(node).disk.add(record);
-        for waiting in after_sync {
-            match waiting {
+        for effect in after_sync {
+            match effect {
                 DeferredEffect::Message(message) => self.send(id, *message),
                 DeferredEffect::RecordSynced(synced) => {
                     self.loopback.push_back(Loopback::RecordSynced(synced));
@@ -234,7 +234,7 @@
         }
     }
 
-    /// A node takes a value for decided, and announces it to the others, as the control node does.
+    /// Records that a node considers a value decided, and announces the value to the other nodes, as the control node does.
     fn on_decided(&mut self, from: NodeId, value: &Value) {
         let others: Vec<NodeId> = self
             .state
@@ -253,7 +253,7 @@
     }
 
     fn on_reply(&mut self, job: JobId, outcome: &Outcome) {
-        let index = usize::try_from(job.0).expect("jobs are numbered by call");
+        let index = usize::try_from(job.0).expect("the job id is the index of a call");
         let order = self.scenario.calls[index].call.order();
         self.state.update_history(|history| match (outcome, order) {
             (Outcome::Committed(_), Some(order)) => history.record_acknowledged(order),
--- a/crates/linenthread-checker/src/search.rs
+++ b/crates/linenthread-checker/src/search.rs
@@ -6,50 +6,50 @@
 use crate::fingerprint::Fingerprint;
 use crate::model::Model;
 
-/// States that are expanded together. It bounds how many successors wait in memory to be compared with the visited
-/// states.
+/// Number of states that are expanded together. It limits the number of successors that are held in memory before they
+/// are compared with the visited states.
 const BATCH_SIZE: usize = 8_192;
 
-/// Threads that expand a batch.
+/// Number of threads that expand a batch.
 const THREADS: usize = 3;
 
-/// A state that violates an invariant, and a shortest path to it.
+/// An invariant violation, with a shortest path to the state that violates the invariant.
 #[derive(Debug)]
 pub struct Violation {
-    /// The invariant's name.
+    /// Name of the invariant.
     pub invariant: &'static str,
-    /// Number of states that were visited until then.
+    /// Number of states visited when the violation was found.
     pub states: usize,
-    /// The actions that lead to the state, one a line.
+    /// The actions that lead to the state, one per line.
     pub trace: Vec<String>,
 }
 
 /// The result of a search.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Number of different states that were visited.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// Number of actions that were applied.
+    /// Number of actions applied.
     pub transitions: usize,
-    /// Length of the longest of the shortest paths to the visited states.
+    /// Greatest distance of a visited state from the initial state, in actions.
     pub depth: usize,
     /// Whether all reachable states were visited.
     pub complete: bool,
-    /// In how many states each situation was met.
+    /// Number of states in which each situation held.
     pub situations: BTreeMap<&'static str, usize>,
-    /// The violations of the first state that has any; the search ends there.
+    /// The violations in the first state that violates an invariant, where the search stops.
     pub violations: Vec<Violation>,
 }
 
 impl Report {
-    /// In how many states a situation was met.
+    /// Returns the number of states in which a situation held.
     pub fn reached(&self, situation: &str) -> usize {
         self.situations.get(situation).copied().unwrap_or(0)
     }
 }
 
-/// Explores every interleaving, shortest paths first, until all reachable states are visited, an invariant is violated,
-/// or at least `max_states` were visited.
+/// Explores every interleaving, breadth first, until all reachable states are visited, an invariant is violated, or at
+/// least `max_states` states are visited.
 pub fn explore<M: Model>(model: &M, max_states: usize) -> Report {
     let initial = model.initial_state();
     let mut search = Search {
@@ -73,7 +73,7 @@
     search.report
 }
 
-/// The visited states, each with its predecessor and the action that led from there; none for the initial state.
+/// The visited states, each with its predecessor and the action that led to it; `None` for the initial state.
 type Visited<A> = HashMap<Fingerprint, Option<(Fingerprint, A)>>;
 
 struct Search<'a, M: Model> {
@@ -82,7 +82,7 @@
     report: Report,
 }
 
-/// A state that was not visited at a lower depth.
+/// A successor state that was not yet visited when its batch was expanded.
 struct Successor<M: Model> {
     state: M::State,
     fingerprint: Fingerprint,
@@ -90,14 +90,14 @@
     action: M::Action,
 }
 
-/// What the expansion of some states led to.
+/// The result of expanding some states.
 struct Expansion<M: Model> {
     successors: Vec<Successor<M>>,
     transitions: usize,
 }
 
 impl<M: Model> Search<'_, M> {
-    /// The states one action further; none if one of them violates an invariant.
+    /// Returns the new states that are one action away from the frontier; empty if one of them violates an invariant.
     fn next_frontier(&mut self, frontier: &[M::State]) -> Vec<M::State> {
         let mut next = Vec::new();
         for batch in frontier.chunks(BATCH_SIZE) {
@@ -111,7 +111,8 @@
         next
     }
 
-    /// Computed by several threads, and returned in the order of the batch, so that each run finds the same.
+    /// Expands a batch on several threads. The successors are returned in the order of the batch, so that the search is
+    /// deterministic.
     fn successors(&mut self, batch: &[M::State]) -> Vec<Successor<M>> {
         let states_per_thread = batch.len().div_ceil(THREADS).max(1);
         let (model, visited) = (self.model, &self.visited);
@@ -122,7 +123,7 @@
                 .collect();
             threads
                 .into_iter()
-                .map(|thread| thread.join().expect("a thread of the search panicked"))
+                .map(|thread| thread.join().expect("a search thread panicked"))
                 .collect()
         });
         self.report.transitions += expansions
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// Checks a state, and returns it if it was not visited before.
+    /// Marks a state as visited and checks its invariants. Returns `None` if it was visited before.
     fn visit(&mut self, successor: Successor<M>) -> Option<M::State> {
         let Entry::Vacant(entry) = self.visited.entry(successor.fingerprint) else {
             return None;
@@ -156,7 +157,7 @@
         Some(successor.state)
     }
 
-    /// The actions on the path by which a state was first reached.
+    /// Returns the actions on the path by which a state was first reached, formatted as lines.
     fn trace(&self, to: Fingerprint) -> Vec<String> {
         let (mut current, mut path) = (to, Vec::new());
         while let Some(Some((predecessor, action))) = self.visited.get(&current) {
--- a/crates/linenthread-checker/tests/scenarios.rs
+++ b/crates/linenthread-checker/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Small scenarios, explored completely: no invariant is violated, and what they are about does happen.
+//! Explores small scenarios completely: no invariant is violated, and the situations that they aim at are reached.
 
 use linenthread_checker::{
     EventBudget, LeaseScenario, Model, Report, Scenario, ScheduledCall, explore,
@@ -25,19 +25,19 @@
 }
 
 #[test]
-fn two_orders_compete_for_one_base() {
+fn competing_orders_on_one_base_are_acknowledged_or_rejected() {
     let report = explore_all(&scenario("1:a,2:b"));
     assert!(report.reached("acknowledged") > 0 && report.reached("rejected") > 0);
 }
 
 #[test]
-fn one_order_is_submitted_to_two_nodes() {
+fn an_order_submitted_to_two_nodes_is_acknowledged_and_never_rejected() {
     let report = explore_all(&scenario("1:a,2:a"));
     assert!(report.reached("acknowledged") > 0 && report.reached("rejected") == 0);
 }
 
 #[test]
-fn a_node_restarts_during_an_order() {
+fn an_order_is_acknowledged_despite_a_node_restart() {
     let report = explore_all(&Scenario {
         budget: EventBudget {
             crashes: 1,
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn a_read_during_an_order() {
+fn a_read_concurrent_with_an_order_completes() {
     let report = explore_all(&scenario("1:a,1:read"));
     assert!(report.reached("acknowledged") > 0 && report.reached("read") > 0);
 }
 
 #[test]
-fn a_lost_disk_is_replaced() {
+fn a_node_with_a_lost_disk_is_replaced_as_a_voter() {
     let report = explore_all(&Scenario {
         budget: EventBudget {
             lost_disks: 1,
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_incomplete_search_says_so() {
+fn a_search_that_reaches_the_state_limit_is_reported_as_incomplete() {
     let report = explore(&scenario("1:a,2:b"), 100);
     assert!(!report.complete && report.violations.is_empty());
 }
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_call_is_written_as_it_is_parsed() {
+fn calls_are_formatted_as_they_are_parsed() {
     let list = "1:a,2:b,1:c,2:replace,3:read";
     let calls = Scenario::parse_calls(list).expect("calls");
     let written: Vec<String> = calls.iter().map(ScheduledCall::to_string).collect();
