--- a/crates/linenthread-dataplane-sim/src/checker.rs
+++ b/crates/linenthread-dataplane-sim/src/checker.rs
@@ -1,14 +1,14 @@
-//! What must hold, checked from each execution at each replica and each response at each client.
+//! Checks the rules that the data plane must obey, using the executions at replicas and the responses at clients.
 //!
-//! | rule | what it says |
+//! | rule | meaning |
 //! | --- | --- |
-//! | *own-response-only* | a response with a seal is of an execution of this very request, with its body |
-//! | *mutating-at-most-once* | a request that may not be repeated is executed at most once |
-//! | *rejected-never-executed* | where a client got 503 with no seal, nothing of its request was executed |
+//! | *own-response-only* | a response with a seal belongs to an execution of the same request and has its body |
+//! | *mutating-at-most-once* | a request that must not be repeated is executed at most once |
+//! | *rejected-never-executed* | if a client gets 503 without a seal, no attempt of its request was executed |
 //! | *no-ambiguous-connection* | nothing is written on a connection with an unanswered request or unread bytes |
-//! | *key-never-forwarded* | no byte of a client's key, nor an `Authorization`, reaches a replica |
-//! | *tenant-of-key* | a request reaches replicas only with the name of the tenant that has its key, and is rejected with 401 only if none has it |
-//! | *complete-or-declared* | each request gets one response in time, complete or with the number of missing parts |
+//! | *key-never-forwarded* | neither a byte of a client's key nor an `Authorization` header reaches a replica |
+//! | *tenant-of-key* | a request reaches replicas only with the name of the tenant that owns its key, and is rejected with 401 only if no tenant owns it |
+//! | *complete-or-declared* | each request gets one response in time, which is complete or states the number of missing parts |
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -23,23 +23,23 @@
 use crate::event_log::{Arrival, EventLog, Execution};
 use crate::tenants::{Identity, KeyHistory};
 
-/// The rules.
+/// A rule that the data plane must obey.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A response with a seal is of an execution of this very request, with its body.
+    /// A response with a seal belongs to an execution of the same request and has its body.
     OwnResponseOnly,
-    /// A request that may not be repeated is executed at most once.
+    /// A request that must not be repeated is executed at most once.
     MutatingAtMostOnce,
-    /// Where a client got 503 with no seal, nothing of its request was executed.
+    /// If a client gets 503 without a seal, no attempt of its request was executed.
     RejectedNeverExecuted,
     /// Nothing is written on a connection with an unanswered request or unread bytes.
     NoAmbiguousConnection,
-    /// No byte of a client's key reaches a replica.
+    /// Neither a byte of a client's key nor an `Authorization` header reaches a replica.
     KeyNeverForwarded,
-    /// A request reaches replicas only with the name of the tenant that has its key, and is rejected with 401 only if none
-    /// has it. On public routes it may have none.
+    /// A request reaches replicas only with the name of the tenant that owns its key, and is rejected with 401 only if no
+    /// tenant owns it. On public routes it may come without a key that a tenant owns, and is then forwarded without a name.
     TenantOfKey,
-    /// Each request gets one response in time, which is complete or says how many parts are missing.
+    /// Each request gets one response in time, which is complete or states the number of missing parts.
     CompleteOrDeclared,
 }
 
@@ -57,12 +57,12 @@
     }
 }
 
-/// A rule that was broken, and how.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// What happened.
+    /// Description of the violation.
     pub cause: String,
 }
 
@@ -72,22 +72,22 @@
     }
 }
 
-/// How many requests there were, and what became of them.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Requests that were sent.
     pub requests: usize,
-    /// Successes of which nothing is missing.
+    /// Successful responses without missing parts.
     pub complete: usize,
-    /// Merged responses of which parts are missing.
+    /// Merged responses with missing parts.
     pub partial: usize,
-    /// Failures: 500 of a replica, or 502.
+    /// Failures: 500 from a replica, or 502.
     pub failed: usize,
-    /// 503 of the ingress node.
+    /// Responses with 503 from the ingress node.
     pub rejected: usize,
-    /// 401: no tenant has the key.
+    /// Responses with 401, for keys that no tenant owns.
     pub unauthorized: usize,
-    /// Requests whose client left.
+    /// Requests whose client gave up before the response.
     pub abandoned: usize,
 }
 
@@ -103,24 +103,24 @@
     }
 }
 
-/// What may be done with a request.
+/// How a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
-    /// It may be executed once only.
+    /// At most once.
     Mutating,
-    /// It may be executed more than once.
+    /// Any number of times.
     Idempotent,
-    /// The same, and the responses of several backends are merged for it.
+    /// Any number of times. The responses of several backends are merged.
     Merged,
 }
 
-/// What a client gets.
+/// A response as received by a client.
 pub(crate) struct ClientResponse {
     pub(crate) head: Head,
     pub(crate) body: Vec<u8>,
 }
 
-/// What a client requests.
+/// A request as sent by a client.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) request_id: String,
@@ -140,19 +140,19 @@
     }
 }
 
-/// The checker of one simulation.
+/// Checks the rules in one simulation.
 pub(crate) struct Checker {
     log: EventLog,
     keys: KeyHistory,
     violations: Vec<Violation>,
     counts: Counts,
     requests: Vec<ClientRequest>,
-    /// Requests of which nothing may have been executed.
+    /// Ids of requests that must not have been executed.
     rejected: Vec<String>,
 }
 
 impl Checker {
-    /// Checks against this log, and by who has the keys.
+    /// Creates a checker that uses the executions in `log` and the key owners in `keys`.
     pub(crate) fn new(log: EventLog, keys: KeyHistory) -> Checker {
         Checker {
             log,
@@ -168,23 +168,22 @@
         self.counts
     }
 
-    /// Notes a violation.
     pub(crate) fn add_violation(&mut self, rule: Rule, cause: String) {
         self.violations.push(Violation { rule, cause });
     }
 
-    /// A client has sent a request.
+    /// Records a request that a client has sent.
     pub(crate) fn on_request(&mut self, request: &ClientRequest) {
         self.counts.requests += 1;
         self.requests.push(request.clone());
     }
 
-    /// A client has left without waiting for its response.
+    /// Records that a client gave up before its response arrived.
     pub(crate) fn on_abandoned(&mut self) {
         self.counts.abandoned += 1;
     }
 
-    /// A client got a response, so much later than it may arrive.
+    /// Checks a response. `lateness` is the time by which it exceeded its deadline; zero if it was in time.
     pub(crate) fn on_response(
         &mut self,
         request: &ClientRequest,
@@ -224,8 +223,8 @@
         }
     }
 
-    /// A request was rejected since no tenant has its key, which was so at some time since it was sent. Nothing of it may
-    /// have been executed.
+    /// Checks a response with 401. No tenant may have owned the key at some time since the request was sent, and no attempt
+    /// of the request may have been executed.
     fn check_unauthorized(&mut self, request: &ClientRequest) {
         self.counts.unauthorized += 1;
         self.rejected.push(request.request_id.clone());
@@ -236,7 +235,7 @@
         }
     }
 
-    /// Who had the key of a request at some time since it was sent.
+    /// Returns the owners of the key of a request between the time when it was sent and `until`. `None` means no owner.
     fn key_owners_until(
         &self,
         request: &ClientRequest,
@@ -247,7 +246,7 @@
             .owners_between(credentials, request.sent_at, until)
     }
 
-    /// A request as it reached a replica.
+    /// Checks the tenant of a request that arrived at a replica.
     fn check_arrival(&mut self, request: &ClientRequest, arrival: &Arrival) {
         let owners = self.key_owners_until(request, arrival.at);
         let is_allowed = match arrival.tenants.as_slice() {
@@ -261,24 +260,24 @@
         }
     }
 
-    /// The connection ended, or stalled, where a response was due.
+    /// Records that a connection ended or stalled before a response arrived.
     pub(crate) fn on_missing_response(&mut self, request: &ClientRequest, cause: &str) {
         let cause = format!("{} got no response: {cause}", request.request_id);
         self.add_violation(Rule::CompleteOrDeclared, cause);
     }
 
-    /// The execution whose seal a response has, if that is of the request.
+    /// Returns the execution that the seal of a response identifies. Reports a violation if it belongs to another request.
     fn check_seal(&mut self, request: &ClientRequest, seal: &str) -> Option<Execution> {
         let execution = self.log.execution_by_seal(seal);
-        let own = execution.filter(|execution| request.matches(execution));
-        if own.is_none() {
+        let matching = execution.filter(|execution| request.matches(execution));
+        if matching.is_none() {
             let cause = format!("{} got the seal {seal}", request.request_id);
             self.add_violation(Rule::OwnResponseOnly, cause);
         }
-        own
+        matching
     }
 
-    /// A replica's response as it arrived.
+    /// Checks the id and the body of a replica's response that was forwarded to a client.
     fn check_forwarded(
         &mut self,
         request: &ClientRequest,
@@ -297,7 +296,7 @@
         }
     }
 
-    /// A response merged from parts.
+    /// Checks a merged response.
     fn check_merged(&mut self, request: &ClientRequest, head: &Head, body: &[u8]) {
         let id = &request.request_id;
         let seals: Vec<&str> = head
@@ -331,7 +330,7 @@
         }
     }
 
-    /// Checks the requests as they reached replicas.
+    /// Checks all requests that arrived at replicas.
     fn check_arrivals(&mut self, requests: &[ClientRequest]) {
         let by_id: HashMap<&str, &ClientRequest> = requests
             .iter()
@@ -345,7 +344,7 @@
         }
     }
 
-    /// Checks what can only be checked at the end; all violations.
+    /// Performs the checks that need the complete execution, and returns all violations.
     pub(crate) fn finish(&mut self) -> Vec<Violation> {
         for request_id in std::mem::take(&mut self.rejected) {
             let executions = self.log.executions_of(&request_id);
--- a/crates/linenthread-dataplane-sim/src/client.rs
+++ b/crates/linenthread-dataplane-sim/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: sessions of several requests on one connection, with pauses, some of which end early.
+//! Simulated clients. A session sends several requests on one connection, with pauses between them, and may end early.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,49 +20,50 @@
 use crate::random::Random;
 use crate::tenants::Identity;
 
-/// How many bytes may be in flight on a client's connection.
+/// Capacity of a client's connection in each direction, in bytes.
 const PIPE_BYTES: usize = 1 << 16;
-/// No head and no body of a response is longer, in bytes.
+/// Maximum size of the head and of the body of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
-/// A response may arrive so long after its deadline: the ingress node waits that long for a replica's last message.
+/// Time after its deadline within which a response may still arrive, because the ingress node waits that long for a
+/// replica's last message.
 const RESPONSE_SLACK: Duration = Duration::from_millis(60);
-/// Nothing is awaited for longer.
+/// Maximum time to wait for any read or write.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// How long a session waits at its end for bytes that nobody requested.
+/// Time that a session waits at its end for unrequested bytes.
 const SURPLUS_TIMEOUT: Duration = Duration::from_millis(500);
-/// The address that the ingress node sees.
+/// Address of all clients, as seen by the ingress node.
 const CLIENT_ADDRESS: ([u8; 4], u16) = ([10, 9, 0, 1], 1);
 
-/// Batches of two requests at once, per mille.
+/// Share of batches that consist of two pipelined requests, per mille.
 const PIPELINED_PER_MILLE: u64 = 100;
-/// Batches that are written in two pieces, per mille.
+/// Share of batches that are written in two pieces, per mille.
 const SPLIT_PER_MILLE: u64 = 100;
-/// Idempotent requests to one backend that need no key, per mille.
+/// Share of idempotent requests to a single backend that use the public route, per mille.
 const PUBLIC_PER_MILLE: u64 = 300;
-/// Responses that are not awaited to their end, per mille.
+/// Share of requests whose client waits for the response only for a short time, per mille.
 const ABANDONED_PER_MILLE: u64 = 30;
-/// Requests with the whole time-out of their route, per mille; the others have less time.
+/// Share of batches with the full time-out of their route, per mille. The others draw their own.
 const FULL_TIMEOUT_PER_MILLE: u64 = 700;
 
-/// What all sessions of a simulation share.
+/// State shared by all sessions of a simulation.
 #[derive(Clone)]
 pub(crate) struct Shared {
     pub(crate) plane: Rc<DataPlane<Network>>,
     pub(crate) checker: Rc<RefCell<Checker>>,
     pub(crate) log: EventLog,
     pub(crate) random: Random,
-    /// For how long the ingress node has been frozen in all.
+    /// Total time for which the ingress node has been frozen.
     pub(crate) frozen: Rc<Cell<Duration>>,
 }
 
-/// Whether a session goes on after a response.
+/// Whether a session continues after a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flow {
     Continue,
     End,
 }
 
-/// One session; its requests are named after it.
+/// Runs a session. The ids of its requests start with its name.
 pub(crate) async fn run_session(shared: Shared, name: String) {
     let (client, server) = tokio::io::duplex(PIPE_BYTES);
     let peer = SocketAddr::from(CLIENT_ADDRESS);
@@ -119,7 +120,7 @@
     }
 }
 
-/// Sends some requests at once, and awaits their responses in the same order, if the client is patient.
+/// Sends a batch of requests at once and receives their responses in the same order, unless the client gives up early.
 async fn exchange(
     shared: &Shared,
     http: &mut HttpConnection<DuplexStream>,
@@ -151,7 +152,7 @@
     Flow::Continue
 }
 
-/// Writes the bytes, at times in two pieces.
+/// Writes the bytes, sometimes in two pieces with a pause.
 async fn write(random: &Random, http: &mut HttpConnection<DuplexStream>, bytes: Vec<u8>) {
     let deadline = Instant::now() + MAX_WAIT;
     let split = if random.per_mille(SPLIT_PER_MILLE) {
@@ -159,7 +160,7 @@
     } else {
         0
     };
-    // A connection that fails here has no response, which is noticed when that is read.
+    // A failed write is detected when no response can be read.
     if split > 0 {
         let _ = http.write(&bytes[..split], deadline).await;
         tokio::time::sleep(random.millis(0, 50)).await;
@@ -167,7 +168,8 @@
     let _ = http.write(&bytes[split..], deadline).await;
 }
 
-/// Awaits one response. A request's time begins when it has been sent and the one before it is answered.
+/// Receives one response. The time-out of a request starts when the batch has been written and the previous request has
+/// been answered.
 async fn receive(
     shared: &Shared,
     http: &mut HttpConnection<DuplexStream>,
--- a/crates/linenthread-dataplane-sim/src/content.rs
+++ b/crates/linenthread-dataplane-sim/src/content.rs
@@ -1,17 +1,17 @@
-//! What replicas answer: a function of backend, path and attempt id alone, so that a response shows which request it
-//! was made for.
+//! Response bodies of replicas. A body depends only on the backend, the path and the attempt id, so it shows which request
+//! it belongs to.
 
 use linenthread_hash::Fnv1a64;
 use linenthread_http::RECORD_BYTES;
 
-/// Paths with this prefix are sent to all backends of their route.
+/// Prefix of paths whose requests are sent to all backends of their route.
 pub(crate) const MERGED_PREFIX: &str = "/all/";
-/// Requests for paths with this prefix need no key.
+/// Prefix of paths whose requests need no key.
 pub(crate) const PUBLIC_PREFIX: &str = "/open/";
-/// Records that each backend has for a request.
+/// Number of records that each backend returns for a merged request.
 const RECORDS_PER_BACKEND: u64 = 6;
 
-/// The body of a backend's response to a request.
+/// Returns the body of a backend's response to a request.
 pub(crate) fn response_body(backend: &str, path: &str, request_id: &str) -> Vec<u8> {
     if !path.starts_with(MERGED_PREFIX) {
         return format!("{backend}|{path}|{request_id}").into_bytes();
@@ -27,10 +27,10 @@
     body
 }
 
-/// A hash of words and a number that is the same on every machine.
+/// Hashes strings and a number. The result is the same on every machine.
 pub(crate) fn hash_words(words: &[&str], number: u64) -> u64 {
     let hash = words.iter().fold(Fnv1a64::default(), |hash, word| {
-        // The zero byte keeps apart words that would read the same if joined.
+        // The zero byte separates the strings, so that different lists with the same concatenation differ in their hash.
         hash.update(word.as_bytes()).update(&[0])
     });
     hash.update(&number.to_be_bytes()).value()
--- a/crates/linenthread-dataplane-sim/src/deployment.rs
+++ b/crates/linenthread-dataplane-sim/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The simulated ingress node: its settings, the configuration that it serves, and its data plane.
+//! The simulated ingress node: its settings, configuration and data plane.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -10,29 +10,29 @@
 
 use crate::network::Network;
 
-/// The host of all routes.
+/// Host of all routes.
 pub const HOST: &str = "index.example";
-/// The zone of the ingress node and of all replicas.
+/// Zone of the ingress node and of all replicas.
 pub(crate) const ZONE: &str = "z";
-/// The backends of the route whose responses are merged.
+/// Backends of the route whose responses are merged.
 pub(crate) const MERGED_BACKENDS: [&str; 3] = ["s1", "s2", "s3"];
-/// The backend of the route whose requests may not run twice.
+/// Backend of the route whose requests must not be executed twice.
 pub(crate) const MUTATING_BACKEND: &str = "s4";
-/// The most records of a merged response.
+/// Maximum number of records in a merged response.
 pub(crate) const RECORD_LIMIT: usize = 7;
-/// The time-out of all routes, in milliseconds.
+/// Time-out of all routes, in milliseconds.
 pub const ROUTE_TIMEOUT_MS: u64 = 1_000;
-/// The retries that the budget permits in each window: many, so that many are sent.
+/// Retry budget per window. It is large, so that many retries are sent.
 pub(crate) const RETRY_ALLOWANCE: f64 = 1_000.0;
 
-/// The data plane of an ingress node that has no configuration yet. The clock starts anew.
+/// Creates the data plane of an ingress node without a configuration, and restarts the clock of the data plane.
 pub fn data_plane_without_configuration(seed: u64, network: Network) -> Rc<DataPlane<Network>> {
     clock::restart();
     DataPlane::new(Rc::new(settings()), seed, network)
 }
 
-/// The data plane of an ingress node that has its configuration and may send so many retries in each window. The clock
-/// starts anew.
+/// Creates the data plane of an ingress node with a configuration and a budget of `retries_per_window` retries, and
+/// restarts the clock of the data plane.
 pub fn data_plane(seed: u64, network: Network, retries_per_window: f64) -> Rc<DataPlane<Network>> {
     let plane = data_plane_without_configuration(seed, network);
     plane.apply_configuration(configuration(1, None).as_bytes());
@@ -46,7 +46,7 @@
     plane
 }
 
-/// The settings of the ingress node.
+/// Returns the settings of the ingress node.
 pub fn settings() -> Settings {
     Settings {
         node_name: "ingress".into(),
@@ -73,7 +73,7 @@
     }
 }
 
-/// The document of a configuration, with this list of tenants if there is one.
+/// Returns a configuration as JSON. `clients` is the JSON list of its tenants, if it has any.
 pub(crate) fn configuration(revision: u64, clients: Option<&str>) -> String {
     let merged = MERGED_BACKENDS
         .map(|backend| format!("\"{backend}\""))
--- a/crates/linenthread-dataplane-sim/src/event_log.rs
+++ b/crates/linenthread-dataplane-sim/src/event_log.rs
@@ -1,4 +1,4 @@
-//! What happened in a simulation: every execution of an attempt at a replica, and a digest of all events.
+//! The events of a simulation: executions and arrivals at replicas, rule violations that replicas detect, and a digest.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 use crate::content::hash_words;
 
-/// One execution of an attempt at a replica.
+/// An execution of an attempt at a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Execution {
     pub(crate) request_id: String,
@@ -18,16 +18,16 @@
     pub(crate) replica_id: String,
 }
 
-/// A request that reached a replica, executed or not.
+/// The arrival of a request at a replica, whether it is executed or not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Arrival {
     pub(crate) request_id: String,
     pub(crate) at: Instant,
-    /// The tenants that its headers name.
+    /// The tenants named in its headers.
     pub(crate) tenants: Vec<String>,
 }
 
-/// An event that enters the digest.
+/// An event that is included in the digest.
 pub(crate) enum Event<'a> {
     /// A client sent a request.
     RequestSent { request_id: &'a str, path: &'a str },
@@ -37,13 +37,13 @@
         status: u16,
         seal: &'a str,
     },
-    /// A replica ran an attempt.
+    /// A replica executed an attempt.
     Executed(&'a Execution),
 }
 
 impl Event<'_> {
-    /// Mixes the event into a digest. The words are those of the first version of this simulation, so that digests
-    /// of all versions can be compared; they are names in no other sense.
+    /// Mixes the event into a digest. The strings that identify the kinds of events must not change, because digests are
+    /// compared across versions of the simulation.
     fn mix_into(&self, digest: u64) -> u64 {
         match self {
             Event::RequestSent { request_id, path } => {
@@ -72,25 +72,26 @@
     executions: Vec<Execution>,
     executions_by_request: BTreeMap<String, usize>,
     arrivals: Vec<Arrival>,
-    /// Bytes with a client's key that a replica received.
+    /// Descriptions of received bytes that contained a client's key.
     leaked_keys: Vec<String>,
+    /// Descriptions of requests written on connections that must not be used.
     misused_connections: Vec<String>,
     digest: u64,
 }
 
-/// The log that all parts of a simulation share.
+/// The event log, shared by all parts of a simulation.
 #[derive(Clone, Default)]
 pub(crate) struct EventLog(Rc<RefCell<State>>);
 
 impl EventLog {
-    /// Adds an event to the digest, with its time.
+    /// Adds an event and the current time to the digest.
     pub(crate) fn add(&self, event: &Event<'_>) {
         let mut state = self.0.borrow_mut();
         let now = clock::now_tenth_millis().cast_unsigned();
         state.digest = event.mix_into(state.digest.rotate_left(7) ^ now);
     }
 
-    /// Adds an execution; its number, from 0.
+    /// Adds an execution and returns its number, counted from 0.
     pub(crate) fn add_execution(&self, execution: Execution) -> usize {
         self.add(&Event::Executed(&execution));
         let mut state = self.0.borrow_mut();
@@ -100,42 +101,40 @@
         state.executions.len() - 1
     }
 
-    /// Adds a request that reached a replica.
     pub(crate) fn add_arrival(&self, arrival: Arrival) {
         self.0.borrow_mut().arrivals.push(arrival);
     }
 
-    /// Takes out what [`EventLog::add_arrival`] added.
+    /// Removes and returns all arrivals.
     pub(crate) fn take_arrivals(&self) -> Vec<Arrival> {
         std::mem::take(&mut self.0.borrow_mut().arrivals)
     }
 
-    /// Notes that a replica received a client's key.
+    /// Records that a replica received a client's key.
     pub(crate) fn add_leaked_key(&self, cause: String) {
         self.0.borrow_mut().leaked_keys.push(cause);
     }
 
-    /// Takes out the notes of [`EventLog::add_leaked_key`].
+    /// Removes and returns the descriptions of all leaked keys.
     pub(crate) fn take_leaked_keys(&self) -> Vec<String> {
         std::mem::take(&mut self.0.borrow_mut().leaked_keys)
     }
 
-    /// Notes that a request was written on a connection that may not be used.
+    /// Records that a request was written on a connection that must not be used.
     pub(crate) fn add_misused_connection(&self, cause: String) {
         self.0.borrow_mut().misused_connections.push(cause);
     }
 
-    /// Takes out the notes of [`EventLog::add_misused_connection`].
+    /// Removes and returns the descriptions of all misused connections.
     pub(crate) fn take_misused_connections(&self) -> Vec<String> {
         std::mem::take(&mut self.0.borrow_mut().misused_connections)
     }
 
-    /// The digest of all events.
     pub(crate) fn digest(&self) -> u64 {
         self.0.borrow().digest
     }
 
-    /// How many attempts of a request were executed.
+    /// Returns the number of executed attempts of a request.
     pub(crate) fn executions_of(&self, request_id: &str) -> usize {
         let state = self.0.borrow();
         state
@@ -145,12 +144,12 @@
             .unwrap_or(0)
     }
 
-    /// How many attempts were executed.
+    /// Returns the number of executed attempts of all requests.
     pub(crate) fn execution_count(&self) -> usize {
         self.0.borrow().executions.len()
     }
 
-    /// The execution whose seal this is: a seal ends with its number.
+    /// Returns the execution with this seal. A seal ends with the number of its execution.
     pub(crate) fn execution_by_seal(&self, seal: &str) -> Option<Execution> {
         let number: usize = seal.rsplit('.').next()?.parse().ok()?;
         self.0.borrow().executions.get(number).cloned()
--- a/crates/linenthread-dataplane-sim/src/fault_plan.rs
+++ b/crates/linenthread-dataplane-sim/src/fault_plan.rs
@@ -1,47 +1,47 @@
-//! What goes wrong, drawn for each connection and each request.
+//! Faults, drawn at random for each connection, write and request.
 
 use crate::random::Random;
 
-/// What becomes of bytes that the ingress node writes.
+/// A fault of a write by the ingress node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFault {
-    /// They are accepted. They may still not arrive.
+    /// All bytes are accepted. The replica may still ignore them.
     None,
-    /// So many are accepted, then the connection fails.
+    /// Accepts this number of bytes, then writes fail.
     FailsAfter(usize),
-    /// So many are accepted, and then no more are, without any error.
+    /// Accepts this number of bytes, then writes block without an error.
     StallsAfter(usize),
 }
 
-/// A surplus response.
+/// A surplus response, sent in addition to the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SurplusResponse {
-    /// The response once more, with the id of its own request.
+    /// A copy of the response.
     Repeated,
-    /// A response with a seal and no id.
+    /// A response with a seal but no request id.
     WithoutId,
-    /// A response with the id of another ingress node's request.
+    /// A response with the id of a request of another ingress node.
     OfAnotherRequest,
-    /// A message that nothing ran, with the id of the request that was answered.
+    /// A rejection, which states that the request was not executed, with the id of the answered request.
     Rejection,
-    /// The same with no id.
+    /// A rejection without a request id.
     RejectionWithoutId,
-    /// A message that another replica has the address, with no id.
+    /// A response without a request id which states that another replica has the address.
     Misdirection,
 }
 
 /// When a surplus response arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SurplusTime {
-    /// Right behind the response, in the same bytes.
+    /// Directly after the response, in the same bytes.
     AtOnce,
-    /// While the connection is idle, or soon after the next request.
+    /// Some time after the response: while the connection is idle, or soon after the next request.
     WhileIdle,
-    /// When the next request has been written, before its response.
+    /// After the next request has been written, before its response.
     BeforeNextResponse,
 }
 
-/// How a truncated response ends.
+/// What happens on the connection after a truncated response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Truncation {
     Close,
@@ -49,50 +49,52 @@
     Stall,
 }
 
-/// What a replica does with a request that it has read completely.
+/// How a replica handles a request that it has read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestFault {
-    /// Nothing goes wrong.
+    /// The request is executed and answered normally.
     None,
-    /// It runs it, responds, and responds once more.
+    /// The request is executed and answered, and a surplus response follows.
     SurplusResponse(SurplusResponse, SurplusTime),
-    /// It runs it; the response has no id.
+    /// The request is executed; the response has no request id.
     ResponseWithoutId,
-    /// It runs it; the response has the id of another ingress node's request.
+    /// The request is executed; the response has the id of a request of another ingress node.
     ResponseOfAnotherRequest,
-    /// It responds much later.
+    /// The request is executed; the response is much delayed.
     LateResponse,
-    /// It runs it and fails; with a seal or without.
+    /// The request is executed and fails; the response has a seal if `sealed`.
     ServerError { sealed: bool },
-    /// It says that it did not run it, which is true.
+    /// The request is not executed, and the response says so; the connection is then closed if `closes`.
     Rejected { with_id: bool, closes: bool },
-    /// It says so, and once more before the response to the next request there.
+    /// The request is not executed, and the response says so. The same rejection precedes the response to the next request
+    /// on the connection.
     RejectedTwice,
-    /// Nothing comes back on the connection any more.
+    /// Nothing is sent on the connection any more.
     Stalled { executed: bool },
-    /// It resets the connection.
+    /// The connection is reset without a response.
     Reset { executed: bool },
-    /// It closes the connection.
+    /// The connection is closed without a response.
     Closed { executed: bool },
-    /// It runs it; the response has no length, and its connection ends behind it, or is reset within it or behind it.
+    /// The request is executed; the response has no `Content-Length`. The connection is closed after the body, or reset
+    /// within or after the body if `is_reset`.
     ResponseWithoutLength { is_reset: bool },
-    /// It runs it; so many thousandths of the response arrive.
+    /// The request is executed; only `per_mille` thousandths of the response arrive.
     Truncated { per_mille: u64, end: Truncation },
 }
 
-/// How often each kind of fault occurs in a simulation, per mille of requests, writes or connections.
+/// Fault rates of a simulation, per mille of requests, writes or connections.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FaultPlan {
     requests: u64,
     writes: u64,
-    /// Connections that are refused, and as many that are slow.
+    /// Rate of refused connections, and of slow ones among the others.
     pub(crate) connections: u64,
-    /// Connections that the replica drops unnoticed while they are idle.
+    /// Rate of connections that the replica drops while they are idle, without the ingress node noticing.
     pub(crate) idle_connections: u64,
 }
 
 impl FaultPlan {
-    /// Some simulations are calm, some are bad.
+    /// Draws the fault rates of a simulation, which range from low to high.
     pub(crate) fn draw(random: &Random) -> FaultPlan {
         FaultPlan {
             requests: random.choose(&[20, 100, 300]),
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The fault of a request that was read completely.
+    /// Draws the fault of a request that was read completely.
     pub(crate) fn request(&self, random: &Random) -> RequestFault {
         if !random.per_mille(self.requests) {
             return RequestFault::None;
@@ -134,7 +136,7 @@
         }
     }
 
-    /// The fault of a write of so many bytes.
+    /// Draws the fault of a write of `length` bytes.
     pub(crate) fn write(&self, random: &Random, length: usize) -> WriteFault {
         if !random.per_mille(self.writes) {
             return WriteFault::None;
--- a/crates/linenthread-dataplane-sim/src/lib.rs
+++ b/crates/linenthread-dataplane-sim/src/lib.rs
@@ -1,8 +1,8 @@
-//! The data plane in simulated time: the daemon's own server, dispatchers, decision module and connection pools
-//! against simulated replicas on connections in memory, under faults drawn from a seed.
+//! Simulation of the data plane in simulated time. The daemon's own server, dispatchers, decision module and connection
+//! pools run against simulated replicas over in-memory connections, with faults drawn from a seed.
 //!
-//! It checks from outside: it sees the bytes that clients and replicas get, and nothing of the data plane's state.
-//! The same seed gives the same execution, of which a digest is kept.
+//! The checks are black-box: they see the bytes that clients and replicas receive, but none of the data plane's state.
+//! The same seed gives the same execution, which is identified by a digest.
 //!
 //! ```text
 //! simulation -> client ------> checker -> event_log
@@ -12,7 +12,7 @@
 //!     +------> replica_set -> replica -> fault_plan, network, content, tenants
 //! ```
 //!
-//! Start reading at [`simulation::run`]; what must hold is listed in [`checker`].
+//! The entry point is [`simulation::run`]. The invariants are listed in [`checker`].
 
 pub mod checker;
 mod client;
--- a/crates/linenthread-dataplane-sim/src/network.rs
+++ b/crates/linenthread-dataplane-sim/src/network.rs
@@ -1,5 +1,5 @@
-//! Connections in memory. What the ingress node writes is handed at once to the peer at the address, which says what
-//! comes back and when; the ingress node reads it from that moment on.
+//! In-memory connections. Bytes that the ingress node writes are passed immediately to the peer at the remote end, which
+//! schedules its response; the ingress node can read each part of it once its arrival time is reached.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,24 +17,24 @@
 
 use crate::fault_plan::WriteFault;
 
-/// What the ingress node finds when it reads.
+/// An event that the ingress node observes when it reads from a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InboundEvent {
-    /// These bytes.
+    /// Bytes arrive.
     Bytes(Vec<u8>),
-    /// The end of the connection.
+    /// The peer closes the connection.
     Close,
-    /// The failure of the connection.
+    /// The connection is reset.
     Reset,
 }
 
-/// An event on its way to the ingress node.
+/// An event that has been sent to the ingress node, with its arrival time.
 struct ScheduledEvent {
     at: Instant,
     event: InboundEvent,
 }
 
-/// What comes back on a connection, in the order in which it was sent.
+/// The events sent to the ingress node on a connection, in order.
 #[derive(Default)]
 pub struct Inbound {
     events: VecDeque<ScheduledEvent>,
@@ -42,9 +42,9 @@
 }
 
 impl Inbound {
-    /// Sends an event to the ingress node, which arrives after so long, and after all that was sent before.
-    pub fn push(&mut self, after: Duration, event: InboundEvent) {
-        let at = Instant::now() + after;
+    /// Sends an event to the ingress node. It arrives after this delay, but not before events that were sent earlier.
+    pub fn push(&mut self, delay: Duration, event: InboundEvent) {
+        let at = Instant::now() + delay;
         let at = self.events.back().map_or(at, |last| at.max(last.at));
         self.events.push_back(ScheduledEvent { at, event });
         if let Some(reader) = self.reader.take() {
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Sends bytes to the ingress node; the same as [`Inbound::push`] with [`InboundEvent::Bytes`].
-    pub(crate) fn push_bytes(&mut self, after: Duration, bytes: Vec<u8>) {
-        self.push(after, InboundEvent::Bytes(bytes));
+    /// Sends bytes to the ingress node, like [`Inbound::push`] with [`InboundEvent::Bytes`].
+    pub(crate) fn push_bytes(&mut self, delay: Duration, bytes: Vec<u8>) {
+        self.push(delay, InboundEvent::Bytes(bytes));
     }
 
-    /// Whether nothing can be read at this moment.
+    /// Reports whether there is nothing to read at the current time.
     pub fn is_idle(&self) -> bool {
         self.events
             .front()
@@ -65,36 +65,36 @@
     }
 }
 
-/// The remote end of one connection.
+/// The remote end of a connection.
 pub trait Peer {
-    /// The fault of a write of these bytes.
+    /// Returns the fault that the ingress node encounters when it writes these bytes.
     fn write_fault(&mut self, bytes: &[u8]) -> WriteFault;
-    /// These bytes have arrived.
+    /// Handles bytes that have arrived. Responses are sent through `inbound`.
     fn receive(&mut self, bytes: &[u8], inbound: &mut Inbound);
-    /// The ingress node has closed its end.
+    /// Called when the ingress node has closed its end.
     fn closed(&mut self) {}
 }
 
-/// A connection that is accepted.
+/// An accepted connection.
 pub struct Accepted {
-    /// How long it takes until it is there.
+    /// Time until the connection is established.
     pub after: Duration,
-    /// Its remote end.
+    /// The remote end of the connection.
     pub peer: Box<dyn Peer>,
 }
 
-/// What listens at an address.
+/// A listener at an address.
 pub trait Listener {
-    /// A new connection; none if it is refused.
+    /// Accepts a new connection. Returns `None` if the connection is refused.
     fn accept(&self) -> Option<Accepted>;
 }
 
-/// The listeners at all addresses.
+/// A network of listeners, shared by all of its clones.
 #[derive(Clone, Default)]
 pub struct Network(Rc<RefCell<BTreeMap<SocketAddr, Rc<dyn Listener>>>>);
 
 impl Network {
-    /// Makes this the listener at an address; connections that are open keep their peers.
+    /// Installs a listener at an address, replacing the previous one. Open connections keep their peers.
     pub fn listen(&self, address: SocketAddr, listener: Rc<dyn Listener>) {
         self.0.borrow_mut().insert(address, listener);
     }
@@ -124,7 +124,7 @@
     Stalled,
 }
 
-/// The ingress node's end of a connection.
+/// The ingress node's end of an in-memory connection.
 pub struct MemoryStream {
     inbound: Inbound,
     peer: Box<dyn Peer>,
@@ -145,7 +145,7 @@
 }
 
 impl MemoryStream {
-    /// Ready when the next event has arrived.
+    /// Returns `Ready` once the next event has arrived.
     fn poll_next_event(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let Some(&ScheduledEvent { at, .. }) = self.inbound.events.front() else {
             self.inbound.reader = Some(context.waker().clone());
--- a/crates/linenthread-dataplane-sim/src/random.rs
+++ b/crates/linenthread-dataplane-sim/src/random.rs
@@ -1,4 +1,4 @@
-//! The source of all random choices of a simulation.
+//! The source of randomness of a simulation.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -6,37 +6,37 @@
 
 use oorandom::Rand64;
 
-/// A random number generator that all parts of a simulation share: the order of the draws is part of an execution.
+/// A random number generator shared by all parts of a simulation. An execution depends on the order of the draws.
 #[derive(Clone)]
 pub(crate) struct Random(Rc<RefCell<Rand64>>);
 
 impl Random {
-    /// All choices that follow from a seed.
     pub(crate) fn new(seed: u64) -> Random {
         Random(Rc::new(RefCell::new(Rand64::new(u128::from(seed)))))
     }
 
-    /// A number below `bound`; 0 if that is 0.
+    /// Draws a number below `bound`; 0 if `bound` is 0.
     pub(crate) fn below(&self, bound: u64) -> u64 {
         self.0.borrow_mut().rand_range(0..bound.max(1))
     }
 
-    /// An index into a slice of this length.
+    /// Draws an index into a slice of this length; 0 if the slice is empty.
     pub(crate) fn index(&self, length: usize) -> usize {
-        usize::try_from(self.below(length as u64)).expect("a number below a usize")
+        usize::try_from(self.below(length as u64))
+            .expect("a number below a usize fits into a usize")
     }
 
-    /// One of these.
+    /// Draws one of the choices.
     pub(crate) fn choose<T: Copy>(&self, choices: &[T]) -> T {
         choices[self.index(choices.len())]
     }
 
-    /// True in `per_mille` of a thousand cases.
+    /// Returns true with a probability of `per_mille` in a thousand.
     pub(crate) fn per_mille(&self, per_mille: u64) -> bool {
         self.below(1_000) < per_mille
     }
 
-    /// A number of milliseconds, from `min` and below `bound`.
+    /// Draws a duration of at least `min` and less than `bound` milliseconds.
     pub(crate) fn millis(&self, min: u64, bound: u64) -> Duration {
         Duration::from_millis(min + self.below(bound - min))
     }
--- a/crates/linenthread-dataplane-sim/src/replica.rs
+++ b/crates/linenthread-dataplane-sim/src/replica.rs
@@ -1,4 +1,4 @@
-//! Simulated replicas: each logs what it executes, and responds as its faults say.
+//! Simulated replicas. Each logs its executions and responds according to the faults drawn.
 
 mod connection;
 pub mod messages;
@@ -16,14 +16,14 @@
 use crate::network::{Accepted, Listener};
 use crate::random::Random;
 
-/// Whether a replica rejects requests that are meant for another one.
+/// Whether a replica rejects requests that are addressed to another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TargetCheck {
     Enforced,
     Disabled,
 }
 
-/// What the replicas of a simulation share.
+/// State shared by the replicas of a simulation.
 #[derive(Clone)]
 pub(crate) struct Environment {
     pub(crate) faults: FaultPlan,
@@ -31,7 +31,7 @@
     pub(crate) log: EventLog,
 }
 
-/// One incarnation of a replica.
+/// An incarnation of a replica.
 pub(crate) struct Replica {
     pub(crate) id: String,
     pub(crate) backend: String,
@@ -45,7 +45,6 @@
 }
 
 impl Replica {
-    /// A replica that runs from now on.
     pub(crate) fn new(
         id: String,
         backend: &str,
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Ends it: from now on it executes and answers nothing.
+    /// Crashes the replica: it executes and answers nothing any more.
     pub(crate) fn crash(&self) {
         self.is_alive.set(false);
     }
@@ -75,7 +74,7 @@
         self.is_alive.get()
     }
 
-    /// Delays all that it sends until so much time has passed.
+    /// Delays the responses to requests until this time has passed.
     pub(crate) fn freeze(&self, time: Duration) {
         self.frozen_until.set(Some(Instant::now() + time));
     }
@@ -86,7 +85,7 @@
         })
     }
 
-    /// Logs an execution; its seal.
+    /// Logs an execution and returns its seal.
     fn execute(&self, request_id: &str, path: &str) -> String {
         let number = self.log.add_execution(Execution {
             request_id: request_id.to_owned(),
@@ -98,7 +97,7 @@
     }
 }
 
-/// A replica as the network sees it.
+/// The listener of a replica.
 pub(crate) struct ReplicaListener(pub(crate) Rc<Replica>);
 
 impl Listener for ReplicaListener {
--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -1,4 +1,4 @@
-//! A replica's end of one connection, and what it does with the requests that arrive on it.
+//! A replica's end of one connection, which handles the requests that arrive on it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,22 +15,22 @@
 use crate::network::{Inbound, InboundEvent, Peer};
 use crate::tenants::KEY_MARKER;
 
-/// No head and no body of a request is longer, in bytes.
+/// Maximum size of the head and of the body of a request, in bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 16;
-/// How soon a reset, or a surplus response, follows a request.
+/// Delay of resets, closes and surplus responses that follow immediately.
 const SHORT_DELAY: Duration = Duration::from_millis(1);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
     Open,
-    /// Requests are answered by a reset: the replica has dropped the connection, and the ingress node has not
-    /// noticed that yet.
+    /// The replica has dropped the connection, which the ingress node may not have noticed yet. Further bytes are answered
+    /// with a reset.
     Dropped,
-    /// Nothing comes back any more.
+    /// Nothing is sent any more.
     Stalled,
 }
 
-/// A request that was read completely.
+/// A request that has been read completely.
 struct Request {
     request_id: String,
     path: String,
@@ -43,12 +43,12 @@
     replica: Rc<Replica>,
     state: State,
     buffer: BytesMut,
-    /// Sent before the response to the next request.
+    /// Surplus response to send before the response to the next request.
     surplus: Option<Vec<u8>>,
-    /// The replica drops a connection that is idle for so long, unnoticed by the ingress node.
+    /// Idle time after which the replica drops the connection without the ingress node noticing; `None` for no limit.
     idle_timeout: Option<Duration>,
     last_used_at: Instant,
-    /// When its last response has arrived, at the earliest.
+    /// Earliest time at which the response to the last request can have arrived.
     response_arrives_at: Instant,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Notes a request on a connection with an unanswered request, or with unread bytes.
+    /// Records a request on a connection with an unanswered request or unread bytes as a misuse.
     fn check_connection_use(&self, inbound: &Inbound) {
         let is_unanswered =
             self.state == State::Stalled || self.response_arrives_at > Instant::now();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Notes bytes that show a client's key, or a header that may.
+    /// Records bytes that contain a client's key, or an `Authorization` header, as a leak.
     fn check_for_leaked_key(&self, bytes: &[u8]) {
         let text = String::from_utf8_lossy(bytes).to_ascii_lowercase();
         if text.contains(KEY_MARKER) || text.contains("authorization") {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Takes a complete request off the buffer, and logs that it arrived.
+    /// Removes the next complete request from the buffer and logs its arrival.
     fn next_request(&mut self) -> Option<Request> {
         let mut rest = self.buffer.clone();
         let head = Head::parse_request(&mut rest, MAX_REQUEST_BYTES).ok()??;
@@ -114,67 +114,67 @@
         })
     }
 
-    /// Does with a request what its fault says.
+    /// Handles a request with a randomly drawn fault.
     fn serve(&mut self, request: &Request, inbound: &mut Inbound) {
         let replica = self.replica.clone();
         let random = &replica.random;
         if let Some(surplus) = self.surplus.take() {
             inbound.push_bytes(SHORT_DELAY, surplus);
         }
-        let mut after = replica.remaining_freeze() + random.millis(2, 30);
-        self.response_arrives_at = Instant::now() + after;
+        let mut delay = replica.remaining_freeze() + random.millis(2, 30);
+        self.response_arrives_at = Instant::now() + delay;
         let is_misdirected = request.target_replica != replica.id;
         if replica.target_check == TargetCheck::Enforced && is_misdirected {
             let message = misdirection(&replica.id);
-            return inbound.push_bytes(after, message);
+            return inbound.push_bytes(delay, message);
         }
         let fault = replica.faults.request(random);
         if fault == RequestFault::LateResponse {
-            after += random.millis(200, 2_500);
-            self.response_arrives_at = Instant::now() + after;
+            delay += random.millis(200, 2_500);
+            self.response_arrives_at = Instant::now() + delay;
         }
-        self.respond(request, fault, after, inbound);
+        self.respond(request, fault, delay, inbound);
     }
 
-    /// Responds to a request after so long, with this fault.
+    /// Responds to a request after a delay, with this fault.
     fn respond(
         &mut self,
         request: &Request,
         fault: RequestFault,
-        after: Duration,
+        delay: Duration,
         inbound: &mut Inbound,
     ) {
         let request_id = Some(request.request_id.as_str());
         match fault {
             RequestFault::None | RequestFault::LateResponse => {
-                inbound.push_bytes(after, self.execute(request, request_id));
+                inbound.push_bytes(delay, self.execute(request, request_id));
             }
             RequestFault::SurplusResponse(kind, time) => {
                 let response = self.execute(request, request_id);
                 let surplus = self.surplus_response(request, kind, &response);
-                self.respond_with_surplus(response, surplus, time, after, inbound);
+                self.respond_with_surplus(response, surplus, time, delay, inbound);
             }
             RequestFault::ResponseWithoutId => {
-                inbound.push_bytes(after, self.execute(request, None));
+                inbound.push_bytes(delay, self.execute(request, None));
             }
             RequestFault::ResponseOfAnotherRequest => {
                 let other_id = id_of_another_request(&request.request_id);
-                inbound.push_bytes(after, self.execute(request, Some(&other_id)));
+                inbound.push_bytes(delay, self.execute(request, Some(&other_id)));
             }
             RequestFault::ServerError { sealed } => {
                 let failure = self.fail(request, sealed);
-                inbound.push_bytes(after, failure);
+                inbound.push_bytes(delay, failure);
             }
             RequestFault::Rejected { with_id, closes } => {
                 let named_id = request_id.filter(|_| with_id);
-                inbound.push_bytes(after, rejection(named_id));
+                inbound.push_bytes(delay, rejection(named_id));
                 if closes {
                     inbound.push(Duration::ZERO, InboundEvent::Close);
                     self.state = State::Dropped;
                 }
             }
             RequestFault::RejectedTwice => {
-                inbound.push_bytes(after, rejection(request_id));
+                inbound.push_bytes(delay, rejection(request_id));
                 self.surplus = Some(rejection(request_id));
             }
             RequestFault::Stalled { executed } => {
@@ -185,48 +185,48 @@
             }
             RequestFault::Reset { executed } => {
                 self.drop_without_response(request, executed);
-                inbound.push(after, InboundEvent::Reset);
+                inbound.push(delay, InboundEvent::Reset);
             }
             RequestFault::Closed { executed } => {
                 self.drop_without_response(request, executed);
-                inbound.push(after, InboundEvent::Close);
+                inbound.push(delay, InboundEvent::Close);
             }
             RequestFault::ResponseWithoutLength { is_reset } => {
                 let response = self.execute(request, request_id);
-                self.respond_without_length(&response, is_reset, after, inbound);
+                self.respond_without_length(&response, is_reset, delay, inbound);
             }
             RequestFault::Truncated { per_mille, end } => {
                 let mut response = self.execute(request, request_id);
                 response.truncate(fraction(response.len(), per_mille));
-                inbound.push_bytes(after, response);
-                self.end_truncated(end, after, inbound);
+                inbound.push_bytes(delay, response);
+                self.end_truncated(end, delay, inbound);
             }
         }
     }
 
-    /// Sends a response without its length, and ends the connection.
+    /// Sends a response without its `Content-Length`, and closes or resets the connection.
     fn respond_without_length(
         &mut self,
         response: &[u8],
         is_reset: bool,
-        after: Duration,
+        delay: Duration,
         inbound: &mut Inbound,
     ) {
         let (mut bytes, body) = without_length(response);
         if is_reset {
             let arrived = self.replica.random.index(body.len() + 1);
             bytes.extend_from_slice(&body[..arrived]);
-            inbound.push_bytes(after, bytes);
+            inbound.push_bytes(delay, bytes);
             inbound.push(SHORT_DELAY, InboundEvent::Reset);
         } else {
             bytes.extend_from_slice(body);
-            inbound.push_bytes(after, bytes);
+            inbound.push_bytes(delay, bytes);
             inbound.push(SHORT_DELAY, InboundEvent::Close);
         }
         self.state = State::Dropped;
     }
 
-    /// Ends the connection with no response.
+    /// Drops the connection without a response, after executing the request if `executed`.
     fn drop_without_response(&mut self, request: &Request, executed: bool) {
         if executed {
             self.execute(request, None);
@@ -234,10 +234,10 @@
         self.state = State::Dropped;
     }
 
-    fn end_truncated(&mut self, end: Truncation, after: Duration, inbound: &mut Inbound) {
+    fn end_truncated(&mut self, end: Truncation, delay: Duration, inbound: &mut Inbound) {
         match end {
-            Truncation::Close => inbound.push(after, InboundEvent::Close),
-            Truncation::Reset => inbound.push(after, InboundEvent::Reset),
+            Truncation::Close => inbound.push(delay, InboundEvent::Close),
+            Truncation::Reset => inbound.push(delay, InboundEvent::Reset),
             Truncation::Stall => {}
         }
         self.state = match end {
@@ -246,7 +246,7 @@
         };
     }
 
-    /// Executes a request; the response, which names this id.
+    /// Executes a request and returns the response, with this request id.
     fn execute(&self, request: &Request, request_id: Option<&str>) -> Vec<u8> {
         let seal = self.replica.execute(&request.request_id, &request.path);
         let body = match request.response_body_presence {
@@ -262,7 +262,7 @@
         .to_bytes()
     }
 
-    /// Executes a request that fails; the response, with a seal or without.
+    /// Executes a request that fails and returns the response, with a seal if `sealed`.
     fn fail(&self, request: &Request, sealed: bool) -> Vec<u8> {
         let seal = self.replica.execute(&request.request_id, &request.path);
         Message {
@@ -306,19 +306,19 @@
         mut response: Vec<u8>,
         surplus: Vec<u8>,
         time: SurplusTime,
-        after: Duration,
+        delay: Duration,
         inbound: &mut Inbound,
     ) {
         match time {
             SurplusTime::AtOnce => response.extend_from_slice(&surplus),
             SurplusTime::WhileIdle => {
-                let later = after + self.replica.random.millis(1, 60);
-                inbound.push_bytes(after, response);
+                let later = delay + self.replica.random.millis(1, 60);
+                inbound.push_bytes(delay, response);
                 return inbound.push_bytes(later, surplus);
             }
             SurplusTime::BeforeNextResponse => self.surplus = Some(surplus),
         }
-        inbound.push_bytes(after, response);
+        inbound.push_bytes(delay, response);
     }
 }
 
@@ -350,14 +350,14 @@
     }
 }
 
-/// So many thousandths of a length, rounded down.
+/// Returns `per_mille` thousandths of a length, rounded down.
 fn fraction(length: usize, per_mille: u64) -> usize {
     let fraction = length as u64 * per_mille / 1_000;
     usize::try_from(fraction).map_or(length, |fraction| fraction.min(length))
 }
 
-/// The id of a request that another ingress node has in flight at the same replica. One that this ingress node has
-/// in flight there could not be detected by anybody: id, connection and order would all be right.
+/// Returns the id of a request that another ingress node has in flight at the same replica. The id of a request of this
+/// ingress node would be undetectable: id, connection and order would all be right.
 fn id_of_another_request(request_id: &str) -> String {
     format!("{request_id}-elsewhere")
 }
--- a/crates/linenthread-dataplane-sim/src/replica/messages.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/messages.rs
@@ -1,24 +1,24 @@
-//! The messages of simulated replicas, as bytes.
+//! Encodes the responses of simulated replicas.
 
-/// What ends a head.
+/// The end of the head of an HTTP message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A response of a replica.
+/// An HTTP response of a replica.
 #[derive(Clone, Copy)]
 pub struct Message<'a> {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// The id of the request that it names, if it names one.
+    /// Request id in the `X-Attempt-Id` header; no such header if `None`.
     pub request_id: Option<&'a str>,
-    /// The seal of the execution, if there was one.
+    /// Seal of the execution in the `X-Replica-Seal` header; no such header if `None`.
     pub seal: Option<&'a str>,
-    /// More header lines, whole ones.
+    /// Additional header lines, each ended by CRLF.
     pub more_headers: &'a str,
-    /// Its body.
+    /// Body of the response.
     pub body: &'a [u8],
 }
 
-/// A success that names no request, with neither seal nor body.
+/// A response with status 200, without request id, seal or body.
 impl Default for Message<'_> {
     fn default() -> Self {
         Message {
@@ -32,9 +32,10 @@
 }
 
 impl Message<'_> {
-    /// The bytes of the response.
+    /// Encodes the response, with a `Content-Length` header.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Faults truncate responses in proportion to their length: the reason phrase is part of every execution.
+        // The reason phrase must keep its length: faults truncate responses in proportion to their length, so a change
+        // would alter the executions of all seeds.
         let mut text = format!("HTTP/1.1 {} Stand-In\r\n", self.status);
         let headers = [
             ("X-Attempt-Id", self.request_id),
@@ -53,7 +54,7 @@
     }
 }
 
-/// The message that a request was not executed.
+/// Returns a 503 response which states that the request was not executed.
 pub fn rejection(request_id: Option<&str>) -> Vec<u8> {
     Message {
         status: 503,
@@ -64,7 +65,7 @@
     .to_bytes()
 }
 
-/// The message that another replica has the address.
+/// Returns a 421 response which states that the replica at this address is `replica_id`, not the requested one.
 pub fn misdirection(replica_id: &str) -> Vec<u8> {
     Message {
         status: 421,
@@ -74,7 +75,7 @@
     .to_bytes()
 }
 
-/// The head of a response without its length, and its body.
+/// Splits a response into its head, from which the `Content-Length` header is removed, and its body.
 pub(super) fn without_length(response: &[u8]) -> (Vec<u8>, &[u8]) {
     let head_end = response
         .windows(HEAD_END.len())
--- a/crates/linenthread-dataplane-sim/src/replica_set.rs
+++ b/crates/linenthread-dataplane-sim/src/replica_set.rs
@@ -1,4 +1,4 @@
-//! The replicas of a simulation, and the crashes and replacements among them.
+//! The replicas of a simulation, with their crashes and replacements.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -9,14 +9,14 @@
 use crate::network::Network;
 use crate::replica::{Environment, Replica, ReplicaListener, TargetCheck};
 
-/// Replicas of each backend.
+/// Number of replicas per backend.
 const REPLICAS_PER_BACKEND: u8 = 2;
-/// The port of all replicas.
+/// Port of all replicas.
 const PORT: u16 = 8_080;
-/// A backend that no route names.
+/// A backend that no route refers to.
 const UNROUTED_BACKEND: &str = "stranger";
 
-/// The replicas that there are, and how many there have been.
+/// The current replicas, and the number of replicas started so far.
 pub(crate) struct ReplicaSet {
     network: Network,
     environment: Environment,
@@ -25,7 +25,7 @@
 }
 
 impl ReplicaSet {
-    /// Starts the replicas of all backends, and lists them in the data plane.
+    /// Starts the replicas of all backends and publishes them to the data plane.
     pub(crate) fn start(
         plane: &DataPlane<Network>,
         network: Network,
@@ -49,7 +49,7 @@
         set
     }
 
-    /// Starts a replica at an address, in place of the one that is there.
+    /// Starts a replica at an address. It replaces the listener of the replica that had the address.
     fn start_replica(
         &mut self,
         backend: &str,
@@ -69,13 +69,14 @@
         replica
     }
 
-    /// Hands the data plane the list of all replicas that there are.
+    /// Publishes the complete list of current replicas to the data plane.
     fn publish(&self, plane: &DataPlane<Network>) {
         let listed: Vec<_> = self.replicas.iter().map(|r| discovery_entry(r)).collect();
         plane.update_replicas(&listed, UpdateScope::Complete);
     }
 
-    /// Freezes replicas, and replaces them by others at their addresses; the data plane learns of that late.
+    /// Freezes replicas and replaces them by others at their addresses, at random times. Replacements are published to the
+    /// data plane with a delay.
     pub(crate) async fn run_faults(mut self, plane: Rc<DataPlane<Network>>) {
         let random = self.environment.random.clone();
         if self.environment.faults.connections == 0 {
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Crashes a replica; another one, at times of another backend, has its address at once. One that does not check
-    /// for whom a request is meant is always of the same backend: nothing on the wire would show the difference.
+    /// Crashes a replica and immediately starts another one, sometimes of another backend, at its address. A replica
+    /// without a target check always has the same backend, because nothing on the wire would reveal a different one.
     fn replace(&mut self, index: usize) {
         let random = self.environment.random.clone();
         let old = self.replicas[index].clone();
@@ -111,12 +112,12 @@
             return;
         }
         self.start_replica(UNROUTED_BACKEND, old.address, target_check);
-        // The backend gets its replica back elsewhere.
+        // The replacement of the crashed replica starts at a different address.
         let address = self.unused_address(old.address);
         self.replicas[index] = self.start_replica(&old.backend, address, TargetCheck::Enforced);
     }
 
-    /// An address in the same subnet that the first replicas do not have.
+    /// Returns an address in the same subnet that none of the initial replicas has.
     fn unused_address(&self, address: SocketAddr) -> SocketAddr {
         let IpAddr::V4(ip) = address.ip() else {
             unreachable!("replicas have IPv4 addresses");
@@ -127,7 +128,7 @@
     }
 }
 
-/// A replica as service discovery lists it.
+/// Returns the entry of a replica as listed by service discovery.
 fn discovery_entry(replica: &Replica) -> linenthread_messages::Replica {
     linenthread_messages::Replica {
         id: replica.id.clone(),
--- a/crates/linenthread-dataplane-sim/src/simulation.rs
+++ b/crates/linenthread-dataplane-sim/src/simulation.rs
@@ -1,4 +1,4 @@
-//! One ingress node, its replicas and its clients, from a seed to a result.
+//! Simulation of one ingress node with its replicas and clients, driven by a seed.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,48 +18,48 @@
 use crate::replica_set::ReplicaSet;
 use crate::tenants::KeyHistory;
 
-/// Sessions of one simulation: they share its replicas and the connections to them.
+/// Number of sessions in one simulation. They share its replicas and the connections to them.
 pub const SESSIONS: usize = 20;
-/// Sessions begin within so many milliseconds.
+/// Time in milliseconds within which the sessions start.
 const START_SPREAD_MS: u64 = 3_000;
-/// How often the data plane closes and forgets what is out of date.
+/// Interval at which the data plane closes stale connections and discards outdated state.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// The revision of the first configuration with tenants.
+/// Revision of the first configuration with tenants.
 const FIRST_REVISION_WITH_TENANTS: u64 = 2;
-/// Simulations in which the ingress node is frozen now and then, per mille.
+/// Share of simulations in which the ingress node is frozen at times, per mille.
 const FREEZING_PER_MILLE: u64 = 300;
 
 /// The result of one simulation.
 pub struct Outcome {
-    /// What was broken.
+    /// The violations that were found.
     pub violations: Vec<Violation>,
-    /// What became of the requests.
+    /// Number of requests by outcome.
     pub counts: Counts,
-    /// How many attempts were executed.
+    /// Number of attempts that replicas executed.
     pub executions: usize,
-    /// The digest of all that happened.
+    /// Digest of all events.
     pub digest: u64,
 }
 
-/// Runs so many sessions under a seed. The same seed gives the same outcome.
+/// Runs a simulation with this number of sessions. The same seed and number give the same outcome.
 ///
 /// # Panics
-/// Where the runtime of the simulation cannot be made.
+/// Panics if the runtime of the simulation cannot be created.
 pub fn run(seed: u64, sessions: usize) -> Outcome {
     in_simulated_time(simulate(seed, sessions))
 }
 
-/// Runs a future, and the tasks that it spawns, on a clock that jumps to the next timer whenever nothing else is to be
-/// done.
+/// Runs a future, and the tasks that it spawns, on a paused clock that advances to the next timer whenever all tasks are
+/// idle.
 ///
 /// # Panics
-/// Where the runtime of the simulation cannot be made.
+/// Panics if the runtime of the simulation cannot be created.
 pub fn in_simulated_time<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
-        .expect("a runtime without I/O");
+        .expect("a runtime without I/O can be created");
     LocalSet::new().block_on(&runtime, future)
 }
 
@@ -114,7 +114,7 @@
     run_session(shared, name).await;
 }
 
-/// Stops the process of the ingress node now and then: its clock goes on, and nothing of it runs.
+/// Freezes the ingress process at random times: its clock advances while none of its tasks run.
 async fn freeze_ingress(shared: Shared) {
     if !shared.random.per_mille(FREEZING_PER_MILLE) {
         return;
@@ -127,12 +127,12 @@
     }
 }
 
-/// Hands the data plane a configuration in which the tenants have the keys that they have now.
+/// Applies a configuration with the tenants' current keys to the data plane.
 fn apply_keys(plane: &DataPlane<Network>, keys: &KeyHistory, revision: u64) {
     plane.apply_configuration(configuration(revision, Some(&keys.clients())).as_bytes());
 }
 
-/// Takes keys away and gives them to tenants, now and then.
+/// Removes keys and assigns them to tenants at random times.
 async fn change_keys(shared: Shared, keys: KeyHistory) {
     for revision in FIRST_REVISION_WITH_TENANTS + 1.. {
         tokio::time::sleep(shared.random.millis(100, 1_500)).await;
--- a/crates/linenthread-dataplane-sim/src/tenants.rs
+++ b/crates/linenthread-dataplane-sim/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Which tenant has which key while operators change that, and what clients send to say whose a request is.
+//! The owners of the keys, which change during a simulation, and the credentials that clients send.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,38 +7,37 @@
 
 use crate::random::Random;
 
-/// What every key contains, and nothing else that is sent.
+/// Text that every key contains and that occurs in nothing else that is sent.
 pub(crate) const KEY_MARKER: &str = "secret-key";
-/// The names of the tenants.
 const TENANTS: [&str; 3] = ["acme", "globex", "initech"];
-/// How many keys there are that tenants have at some time.
+/// Number of keys that tenants may own.
 const KEY_COUNT: usize = 6;
 
-/// Requests without a key that a tenant may have, per mille.
+/// Share of requests whose credentials never identify a tenant, per mille.
 const INVALID_CREDENTIALS_PER_MILLE: u64 = 40;
-/// Requests that name a tenant by a header of their own, per mille.
+/// Share of requests that claim a tenant in a header, per mille.
 const CLAIMED_TENANT_PER_MILLE: u64 = 200;
-/// Of those, the ones that list that header in `Connection`, per mille.
+/// Share of those requests that also list the header in `Connection`, per mille.
 const NAMED_IN_CONNECTION_PER_MILLE: u64 = 300;
-/// Changes of a tenant's key that take it away, per mille; the others give it to a tenant.
+/// Share of changes that remove a key from its owner, per mille. The others assign it to a tenant.
 const REMOVED_PER_MILLE: u64 = 250;
 
-/// One of the keys that tenants have at some time.
+/// Index of a key that a tenant may own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct KeyIndex(usize);
 
-/// What a request carries to say whose it is.
+/// The credentials of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Credentials {
-    /// Nothing.
+    /// No credentials.
     None,
-    /// A key that a tenant has, had or will have.
+    /// A key that a tenant owns at some time.
     Key(KeyIndex),
-    /// A key that no tenant has at any time.
+    /// A key that no tenant owns at any time.
     UnknownKey,
-    /// A tenant's key by another scheme.
+    /// A tenant's key with the `Basic` authentication scheme instead of `Bearer`.
     OtherScheme(KeyIndex),
-    /// A tenant's key twice.
+    /// A tenant's key in two `Authorization` headers.
     Repeated(KeyIndex),
 }
 
@@ -56,7 +55,6 @@
         ])
     }
 
-    /// The header lines.
     fn header_lines(self) -> String {
         let bearer = |key: KeyIndex| format!("Authorization: Bearer {}\r\n", key_text(key));
         match self {
@@ -69,11 +67,11 @@
     }
 }
 
-/// What the headers of a request say of whose it is.
+/// The headers of a request that identify or claim a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Identity {
     pub(crate) credentials: Credentials,
-    /// A name that only the ingress node may state, and what the request says of it in `Connection`.
+    /// The tenant claimed in a header that only the ingress node may set, and whether `Connection` lists that header.
     claimed: Option<ClaimedTenant>,
 }
 
@@ -99,7 +97,6 @@
         }
     }
 
-    /// The header lines.
     pub(crate) fn header_lines(&self) -> String {
         let mut lines = self.credentials.header_lines();
         if let Some(claimed) = self.claimed {
@@ -112,26 +109,26 @@
     }
 }
 
-/// Who has the keys from some moment on.
+/// The owners of the keys from some time on.
 struct Assignment {
     since: Instant,
-    /// The tenant of each key, if one has it.
+    /// The owner of each key; `None` if no tenant owns it.
     owners: [Option<&'static str>; KEY_COUNT],
 }
 
-/// Who has the keys, now and before.
+/// The current and earlier owners of the keys.
 #[derive(Clone)]
 pub(crate) struct KeyHistory(Rc<RefCell<Vec<Assignment>>>);
 
 impl KeyHistory {
-    /// Each key is a tenant's.
+    /// Assigns each key to a tenant.
     pub(crate) fn new() -> KeyHistory {
         let owners = std::array::from_fn(|key| Some(TENANTS[key % TENANTS.len()]));
         let since = Instant::now();
         KeyHistory(Rc::new(RefCell::new(vec![Assignment { since, owners }])))
     }
 
-    /// Takes a key away, or gives it to a tenant.
+    /// Removes a random key from its owner, or assigns it to a tenant.
     pub(crate) fn change(&self, random: &Random) {
         let mut history = self.0.borrow_mut();
         let mut owners = history.last().map_or([None; KEY_COUNT], |last| last.owners);
@@ -145,7 +142,7 @@
         history.push(Assignment { since, owners });
     }
 
-    /// The tenants that have keys now, as a configuration lists them.
+    /// Returns all tenants with their current keys, as the JSON list in a configuration.
     pub(crate) fn clients(&self) -> String {
         let history = self.0.borrow();
         let owners = history
@@ -167,8 +164,8 @@
         format!("[{}]", clients.join(","))
     }
 
-    /// Whose a request with these credentials may be that the ingress node read at some time between these moments;
-    /// `None` is nobody.
+    /// Returns the tenants that these credentials may identify if the ingress node reads them between `from` and `to`.
+    /// `None` means no tenant.
     pub(crate) fn owners_between(
         &self,
         credentials: Credentials,
