--- a/crates/linenthread-checker/src/register.rs
+++ b/crates/linenthread-checker/src/register.rs
@@ -5,7 +5,7 @@
 //! | `scenario` | the calls, and the limits on other events |
 //! | `state` | the state of all nodes, their disks and the network |
 //! | `history` | past events that the invariants refer to |
-//! | `action` | the actions that are enabled in a state |
+//! | `action` | the actions, and which of them are enabled in a state |
 //! | `transition` | applies actions to states |
 //! | `obsolete` | discards messages that can no longer have an effect |
 //! | `invariants` | the invariants of each state |
--- a/crates/linenthread-checker/src/register/state.rs
+++ b/crates/linenthread-checker/src/register/state.rs
@@ -151,7 +151,7 @@
     pub(crate) budget: EventBudget,
     /// Bit mask of the calls that were not made yet, by index in the scenario.
     pending_calls: u32,
-    /// The identity of the disk that was lost.
+    /// Identity of the lost disk; `None` if no disk is lost.
     lost_disk: Option<NodeId>,
 }
 
--- a/crates/linenthread-ci/src/check.rs
+++ b/crates/linenthread-ci/src/check.rs
@@ -22,19 +22,19 @@
     /// A test program ended before it printed its summary, for example because it was aborted.
     #[snafu(display("{program} ended without a summary of its tests"))]
     MissingSummary {
-        /// `package::target`.
+        /// The test program, as `package::target`.
         program: String,
     },
     /// The summary of a test program contradicts its test lines, some of which are missing or garbled.
     #[snafu(display("{program}: the summary contradicts the lines of its tests"))]
     InconsistentSummary {
-        /// `package::target`.
+        /// The test program, as `package::target`.
         program: String,
     },
     /// A test program that cargo built is missing from the output.
     #[snafu(display("{program} was built but did not run"))]
     NotRun {
-        /// `package::target`.
+        /// The test program, as `package::target`.
         program: String,
     },
     /// The output contains a test program that cargo did not report as built.
@@ -46,7 +46,7 @@
     /// Two test programs have the same name, so the names of their tests are ambiguous.
     #[snafu(display("two test programs are named {program}"))]
     DuplicateProgram {
-        /// `package::target`.
+        /// The test program, as `package::target`.
         program: String,
     },
     /// The exit status of cargo or its count of failed targets does not match the test outcomes.
@@ -58,25 +58,25 @@
     /// A test failed that is not listed as a known failure.
     #[snafu(display("{test} failed"))]
     Failed {
-        /// `package::target::test`.
+        /// The test, as `package::target::test`.
         test: String,
     },
     /// A listed test passed: it was fixed, or it is flaky.
     #[snafu(display("{test} is listed as known to fail but passed: remove its line"))]
     KnownFailurePassed {
-        /// `package::target::test`.
+        /// The test, as `package::target::test`.
         test: String,
     },
     /// A listed test is ignored, so it was not run.
     #[snafu(display("{test} is listed as known to fail but was ignored"))]
     KnownFailureIgnored {
-        /// `package::target::test`.
+        /// The test, as `package::target::test`.
         test: String,
     },
     /// A listed test does not exist.
     #[snafu(display("{test} is listed as known to fail but does not exist"))]
     KnownFailureMissing {
-        /// `package::target::test`.
+        /// The test, as `package::target::test`.
         test: String,
     },
 }
--- a/crates/linenthread-ci/src/known_failures.rs
+++ b/crates/linenthread-ci/src/known_failures.rs
@@ -43,7 +43,7 @@
     /// A test is listed twice.
     #[snafu(display("{test} is listed twice"))]
     Duplicate {
-        /// `package::target::test`.
+        /// The test, as `package::target::test`.
         test: String,
     },
 }
