--- a/crates/linenthread-checker/src/register/obsolete.rs
+++ b/crates/linenthread-checker/src/register/obsolete.rs
@@ -1,6 +1,6 @@
-//! Messages that cannot have an effect any more.
+//! Discards messages that can no longer have an effect.
 //!
-//! They are taken out of the network, so that states which differ in them alone are one state.
+//! They are removed from the network so that states that differ only in such messages are merged.
 
 use linenthread_consensus::{NodeId, ValueNumber};
 use linenthread_messages::PeerMessage;
@@ -8,33 +8,33 @@
 use crate::node_index::NodeIndex;
 use crate::register::state::{InFlight, Node, SystemState};
 
-/// Discards the obsolete messages, after a node has acted.
-pub(crate) fn discard(state: &mut SystemState, acted: NodeIndex) {
+/// Discards obsolete messages after an action of a node.
+pub(crate) fn discard(state: &mut SystemState, acting_node: NodeIndex) {
     let mut network = std::mem::take(&mut state.network);
-    let acted = state.node(acted);
+    let acting = state.node(acting_node);
     network.retain(|message| {
         let is_obsolete = is_about_decided_number(state, message)
-            || message.to == acted.id && is_ignored_reply(acted, message);
+            || message.to == acting.id && is_ignored_reply(acting, message);
         !is_obsolete
     });
     state.network = network;
 }
 
-/// Number of the newest value of the node with this identity.
+/// Returns the number of the newest value of the node with this identity.
 fn newest_number(state: &SystemState, id: NodeId) -> Option<ValueNumber> {
     let node = state.nodes().find(|node| node.id == id)?;
     node.register.decided().map(ValueNumber::of)
 }
 
-/// The receiver has a value of the message's number. A request would be answered by that value, and is obsolete only if
-/// its sender has it as well.
+/// Reports whether the receiver has a decided value with the number of the message or a greater one. It would answer a
+/// request with its newest value, so a request is obsolete only if its sender has a value at least as new.
 fn is_about_decided_number(state: &SystemState, message: &InFlight) -> bool {
     let receiver = newest_number(state, message.to);
     let receiver_has = |number| receiver >= Some(ValueNumber::new(number));
-    let sender_has_as_much = || newest_number(state, message.from) >= receiver;
+    let sender_is_as_recent = || newest_number(state, message.from) >= receiver;
     match &message.message {
-        PeerMessage::Prepare(request) => receiver_has(request.number) && sender_has_as_much(),
-        PeerMessage::Accept(request) => receiver_has(request.value.number) && sender_has_as_much(),
+        PeerMessage::Prepare(request) => receiver_has(request.number) && sender_is_as_recent(),
+        PeerMessage::Accept(request) => receiver_has(request.value.number) && sender_is_as_recent(),
         PeerMessage::Promise(promise) => receiver_has(promise.number),
         PeerMessage::AcceptAck(ack) => receiver_has(ack.number),
         PeerMessage::Rejected(rejected) => receiver_has(rejected.number),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The reply belongs to a round that is over, and changes nothing at its receiver.
+/// Reports whether a message is a reply that the receiver would ignore, because it belongs to a round that has ended.
 fn is_ignored_reply(receiver: &Node, message: &InFlight) -> bool {
     let is_reply = matches!(
         message.message,
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -1,4 +1,4 @@
-//! The state after an action.
+//! Applies actions to states.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,18 +13,18 @@
 use crate::register::action::Action;
 use crate::register::obsolete;
 use crate::register::scenario::{Call, Scenario};
-use crate::register::state::{InFlight, SystemState, UnsyncedRecord, Waiting};
+use crate::register::state::{DeferredEffect, InFlight, SystemState, UnsyncedRecord};
 
-/// A tick moves a node's clock by this much, past every time-out.
+/// Time by which a tick advances the clock of a node; longer than every time-out.
 const TICK: Duration = Duration::from_secs(2);
 
-/// Jobs have no deadline: reaching one would only leave their outcome unknown.
+/// Deadline of jobs. They have none, because reaching it would only leave their outcome unknown.
 const DEADLINE: Instant = Instant::NEVER;
 
-/// The epoch of the lease under which the voters are changed.
+/// Epoch of the leader lease under which the voters are changed.
 const LEASE_EPOCH: Epoch = Epoch::FIRST;
 
-/// The state after an enabled action.
+/// Returns the state after an enabled action.
 pub(crate) fn apply(state: &SystemState, scenario: &Scenario, action: Action) -> SystemState {
     let mut transition = Transition {
         state: state.clone(),
@@ -41,7 +41,7 @@
 struct Transition<'a> {
     state: SystemState,
     scenario: &'a Scenario,
-    /// What the acting node tells itself, at once.
+    /// Events that the acting node sends to itself. They are handled within the same action.
     loopback: VecDeque<Loopback>,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Transition<'_> {
-    /// Returns the node that acted.
+    /// Performs the action and returns the node that acted.
     fn run(&mut self, action: Action) -> NodeIndex {
         match action {
             Action::Deliver(index) => {
@@ -89,7 +89,7 @@
         let receiver = self
             .state
             .find_node(message.to)
-            .expect("messages to lost disks are not in flight");
+            .expect("messages to a lost disk are not in flight");
         let mut effects = Vec::new();
         let node = self.state.node_mut(receiver);
         node.register.on_message(
@@ -98,7 +98,7 @@
             message.message.clone(),
             &mut effects,
         );
-        self.carry_out(receiver, effects);
+        self.apply_effects(receiver, effects);
         receiver
     }
 
@@ -108,7 +108,7 @@
         self.state.clear_pending_call(index);
         let job = JobId(u64::from(call));
         let mut effects = Vec::new();
-        if let Some(change) = self.change_of(scheduled.call, scheduled.node) {
+        if let Some(change) = self.proposed_change(scheduled.call, scheduled.node) {
             let node = self.state.node_mut(scheduled.node);
             node.register
                 .propose(node.now, job, change, DEADLINE, &mut effects);
@@ -118,12 +118,12 @@
             let node = self.state.node_mut(scheduled.node);
             node.register.read(node.now, job, DEADLINE, &mut effects);
         }
-        self.carry_out(scheduled.node, effects);
+        self.apply_effects(scheduled.node, effects);
         scheduled.node
     }
 
-    /// The change that a call proposes at a node; none for a read.
-    fn change_of(&self, call: Call, node: NodeIndex) -> Option<Change> {
+    /// Returns the change that a call proposes at a node; `None` for a read.
+    fn proposed_change(&self, call: Call, node: NodeIndex) -> Option<Change> {
         if call != Call::ReplaceVoter {
             return call.change();
         }
@@ -141,7 +141,7 @@
         let acting = self.state.node_mut(node);
         acting.now += TICK;
         acting.register.tick(acting.now, &mut effects);
-        self.carry_out(node, effects);
+        self.apply_effects(node, effects);
     }
 
     fn sync(&mut self, node: NodeIndex) {
@@ -150,12 +150,12 @@
         self.deliver_loopback(node);
     }
 
-    fn carry_out(&mut self, node: NodeIndex, effects: Vec<Effect>) {
-        self.carry_out_once(node, effects);
+    fn apply_effects(&mut self, node: NodeIndex, effects: Vec<Effect>) {
+        self.apply_effects_without_loopback(node, effects);
         self.deliver_loopback(node);
     }
 
-    /// Handles what the acting node tells itself, until nothing is left.
+    /// Handles the events that the acting node sends to itself until none are left.
     fn deliver_loopback(&mut self, node: NodeIndex) {
         while let Some(event) = self.loopback.pop_front() {
             let mut effects = Vec::new();
@@ -165,11 +165,11 @@
                 Loopback::Message(message) => register.on_message(now, id, message, &mut effects),
                 Loopback::RecordSynced(synced) => register.on_synced(now, synced, &mut effects),
             }
-            self.carry_out_once(node, effects);
+            self.apply_effects_without_loopback(node, effects);
         }
     }
 
-    fn carry_out_once(&mut self, node: NodeIndex, effects: Vec<Effect>) {
+    fn apply_effects_without_loopback(&mut self, node: NodeIndex, effects: Vec<Effect>) {
         let from = self.state.node(node).id;
         for effect in effects {
             match effect {
@@ -194,11 +194,11 @@
         let after_sync = after_sync
             .into_iter()
             .filter_map(|next| match next {
-                AfterSync::Send { to, message } => {
-                    Some(Waiting::Message(Box::new(InFlight::new(from, to, message))))
-                }
-                AfterSync::RecordSynced(synced) => Some(Waiting::RecordSynced(synced)),
-                // No register asks for it.
+                AfterSync::Send { to, message } => Some(DeferredEffect::Message(Box::new(
+                    InFlight::new(from, to, message),
+                ))),
+                AfterSync::RecordSynced(synced) => Some(DeferredEffect::RecordSynced(synced)),
+                // The register never requests these.
                 AfterSync::EpochSynced(_) | AfterSync::SnapshotSynced(_) => None,
             })
             .collect();
@@ -224,17 +224,18 @@
                 .update_history(|history| history.record_accepted(number, accepted.ballot, id));
         }
         self.state.node_mut(node).disk.add(record);
-        for waiting in after_sync {
-            match waiting {
-                Waiting::Message(message) => self.send(id, *message),
-                Waiting::RecordSynced(synced) => {
+        for effect in after_sync {
+            match effect {
+                DeferredEffect::Message(message) => self.send(id, *message),
+                DeferredEffect::RecordSynced(synced) => {
                     self.loopback.push_back(Loopback::RecordSynced(synced));
                 }
             }
         }
     }
 
-    /// A node takes a value for decided, and announces it to the others, as the control node does.
+    /// Records that a node considers a value decided, and announces the value to the other nodes, as the control node
+    /// does.
     fn on_decided(&mut self, from: NodeId, value: &Value) {
         let others: Vec<NodeId> = self
             .state
@@ -246,14 +247,14 @@
             let message = PeerMessage::Decided(value.clone());
             self.state.send(InFlight::new(from, to, message));
         }
-        if !self.state.history().is_known(value) {
+        if !self.state.history().is_decided_value(value) {
             self.state
                 .update_history(|history| history.record_decided(value));
         }
     }
 
     fn on_reply(&mut self, job: JobId, outcome: &Outcome) {
-        let index = usize::try_from(job.0).expect("jobs are numbered by call");
+        let index = usize::try_from(job.0).expect("the job id is the index of a call");
         let order = self.scenario.calls[index].call.order();
         self.state.update_history(|history| match (outcome, order) {
             (Outcome::Committed(_), Some(order)) => history.record_acknowledged(order),
--- a/crates/linenthread-dataplane-sim/src/checker.rs
+++ b/crates/linenthread-dataplane-sim/src/checker.rs
@@ -1,14 +1,14 @@
-//! What must hold, checked from each execution at each replica and each response at each client.
+//! Checks the rules that the data plane must obey, using the executions at replicas and the responses at clients.
 //!
-//! | rule | what it says |
+//! | rule | meaning |
 //! | --- | --- |
-//! | *own-response-only* | a response with a seal is of an execution of this very request, with its body |
-//! | *mutating-at-most-once* | a request that may not be repeated is executed at most once |
-//! | *rejected-never-executed* | where a client got 503 with no seal, nothing of its request was executed |
+//! | *own-response-only* | a response with a seal belongs to an execution of the same request and has its body |
+//! | *mutating-at-most-once* | a request that must not be repeated is executed at most once |
+//! | *rejected-never-executed* | if a client gets 401 or 503 without a seal, no attempt of its request was executed |
 //! | *no-ambiguous-connection* | nothing is written on a connection with an unanswered request or unread bytes |
-//! | *key-never-forwarded* | no byte of a client's key, nor an `Authorization`, reaches a replica |
-//! | *tenant-of-key* | a request reaches replicas only with the name of the tenant that has its key, and is rejected with 401 only if none has it |
-//! | *complete-or-declared* | each request gets one response in time, complete or with the number of missing parts |
+//! | *key-never-forwarded* | neither a byte of a client's key nor an `Authorization` header reaches a replica |
+//! | *tenant-of-key* | a request reaches replicas only with the name of the tenant that owns its key, and is rejected with 401 only if no tenant owns it |
+//! | *complete-or-declared* | each request gets one response in time, which is complete or states the number of missing parts |
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -23,23 +23,24 @@
 use crate::event_log::{Arrival, EventLog, Execution};
 use crate::tenants::{Identity, KeyHistory};
 
-/// The rules.
+/// A rule that the data plane must obey.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// A response with a seal is of an execution of this very request, with its body.
+    /// A response with a seal belongs to an execution of the same request and has its body.
     OwnResponseOnly,
-    /// A request that may not be repeated is executed at most once.
+    /// A request that must not be repeated is executed at most once.
     MutatingAtMostOnce,
-    /// Where a client got 503 with no seal, nothing of its request was executed.
+    /// If a client gets 401 or 503 without a seal, no attempt of its request was executed.
     RejectedNeverExecuted,
     /// Nothing is written on a connection with an unanswered request or unread bytes.
     NoAmbiguousConnection,
-    /// No byte of a client's key reaches a replica.
+    /// Neither a byte of a client's key nor an `Authorization` header reaches a replica.
     KeyNeverForwarded,
-    /// A request reaches replicas only with the name of the tenant that has its key, and is rejected with 401 only if none
-    /// has it. On public routes it may have none.
+    /// A request reaches replicas only with the name of the tenant that owns its key, and is rejected with 401 only if
+    /// no tenant owns it. On public routes it may come without a key that a tenant owns, and is then forwarded without
+    /// a name.
     TenantOfKey,
-    /// Each request gets one response in time, which is complete or says how many parts are missing.
+    /// Each request gets one response in time, which is complete or states the number of missing parts.
     CompleteOrDeclared,
 }
 
@@ -57,12 +58,12 @@
     }
 }
 
-/// A rule that was broken, and how.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// What happened.
+    /// Description of the violation.
     pub cause: String,
 }
 
@@ -72,22 +73,22 @@
     }
 }
 
-/// How many requests there were, and what became of them.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     /// Requests that were sent.
     pub requests: usize,
-    /// Successes of which nothing is missing.
+    /// Successful responses without missing parts.
     pub complete: usize,
-    /// Merged responses of which parts are missing.
+    /// Merged responses with missing parts.
     pub partial: usize,
-    /// Failures: 500 of a replica, or 502.
+    /// Failures: 500 from a replica, or 502.
     pub failed: usize,
-    /// 503 of the ingress node.
+    /// Responses with 503 from the ingress node.
     pub rejected: usize,
-    /// 401: no tenant has the key.
+    /// Responses with 401, for keys that no tenant owns.
     pub unauthorized: usize,
-    /// Requests whose client left.
+    /// Requests whose client gave up before the response.
     pub abandoned: usize,
 }
 
@@ -103,24 +104,24 @@
     }
 }
 
-/// What may be done with a request.
+/// How a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
-    /// It may be executed once only.
+    /// At most once.
     Mutating,
-    /// It may be executed more than once.
+    /// Any number of times.
     Idempotent,
-    /// The same, and the responses of several backends are merged for it.
+    /// Any number of times. The responses of several backends are merged.
     Merged,
 }
 
-/// What a client gets.
+/// A response as received by a client.
 pub(crate) struct ClientResponse {
     pub(crate) head: Head,
     pub(crate) body: Vec<u8>,
 }
 
-/// What a client requests.
+/// A request as sent by a client.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) request_id: String,
@@ -135,24 +136,24 @@
         self.path.starts_with(PUBLIC_PREFIX)
     }
 
-    fn is_of(&self, execution: &Execution) -> bool {
+    fn matches(&self, execution: &Execution) -> bool {
         execution.request_id == self.request_id && execution.path == self.path
     }
 }
 
-/// The checker of one simulation.
+/// Checks the rules in one simulation.
 pub(crate) struct Checker {
     log: EventLog,
     keys: KeyHistory,
     violations: Vec<Violation>,
     counts: Counts,
     requests: Vec<ClientRequest>,
-    /// Requests of which nothing may have been executed.
+    /// Ids of requests that must not have been executed.
     rejected: Vec<String>,
 }
 
 impl Checker {
-    /// Checks against this log, and by who has the keys.
+    /// Creates a checker that uses the executions in `log` and the key owners in `keys`.
     pub(crate) fn new(log: EventLog, keys: KeyHistory) -> Checker {
         Checker {
             log,
@@ -168,34 +169,33 @@
         self.counts
     }
 
-    /// Notes a violation.
-    pub(crate) fn violation(&mut self, rule: Rule, cause: String) {
+    pub(crate) fn add_violation(&mut self, rule: Rule, cause: String) {
         self.violations.push(Violation { rule, cause });
     }
 
-    /// A client has sent a request.
+    /// Records a request that a client has sent.
     pub(crate) fn on_request(&mut self, request: &ClientRequest) {
         self.counts.requests += 1;
         self.requests.push(request.clone());
     }
 
-    /// A client has left without waiting for its response.
+    /// Records that a client gave up before its response arrived.
     pub(crate) fn on_abandoned(&mut self) {
         self.counts.abandoned += 1;
     }
 
-    /// A client got a response, so much later than it may arrive.
+    /// Checks a response. `lateness` is the time by which it exceeded its deadline; zero if it was in time.
     pub(crate) fn on_response(
         &mut self,
         request: &ClientRequest,
         response: &ClientResponse,
-        delay: Duration,
+        lateness: Duration,
     ) {
         let ClientResponse { head, body } = response;
         let id = &request.request_id;
-        if !delay.is_zero() {
-            let cause = format!("{id} was answered {delay:?} too late");
-            self.violation(Rule::CompleteOrDeclared, cause);
+        if !lateness.is_zero() {
+            let cause = format!("{id} was answered {lateness:?} too late");
+            self.add_violation(Rule::CompleteOrDeclared, cause);
         }
         let seal = head.header("x-replica-seal");
         let is_merged = request.kind == RequestKind::Merged;
@@ -219,33 +219,37 @@
             }
             (status, _, seal) => {
                 let cause = format!("{id} got {status}, seal {seal:?}");
-                self.violation(Rule::CompleteOrDeclared, cause);
+                self.add_violation(Rule::CompleteOrDeclared, cause);
             }
         }
     }
 
-    /// A request was rejected since no tenant has its key, which was so at some time since it was sent. Nothing of it may
-    /// have been executed.
+    /// Checks a response with 401: the route must not be public, and the key must have had no owner at some time since
+    /// the request was sent. No attempt of the request may have been executed, which is checked at the end.
     fn check_unauthorized(&mut self, request: &ClientRequest) {
         self.counts.unauthorized += 1;
         self.rejected.push(request.request_id.clone());
-        let owners = self.owners_until(request, Instant::now());
+        let owners = self.key_owners_until(request, Instant::now());
         if request.is_public() || !owners.contains(&None) {
             let cause = format!("{} got 401, {:?}", request.request_id, request.identity);
-            self.violation(Rule::TenantOfKey, cause);
+            self.add_violation(Rule::TenantOfKey, cause);
         }
     }
 
-    /// Who had the key of a request at some time since it was sent.
-    fn owners_until(&self, request: &ClientRequest, until: Instant) -> Vec<Option<&'static str>> {
+    /// Returns the owners of the key of a request between the time when it was sent and `until`. `None` means no owner.
+    fn key_owners_until(
+        &self,
+        request: &ClientRequest,
+        until: Instant,
+    ) -> Vec<Option<&'static str>> {
         let credentials = request.identity.credentials;
         self.keys
             .owners_between(credentials, request.sent_at, until)
     }
 
-    /// A request as it reached a replica.
+    /// Checks the tenant of a request that arrived at a replica.
     fn check_arrival(&mut self, request: &ClientRequest, arrival: &Arrival) {
-        let owners = self.owners_until(request, arrival.at);
+        let owners = self.key_owners_until(request, arrival.at);
         let is_allowed = match arrival.tenants.as_slice() {
             [] => request.is_public() && owners.contains(&None),
             [tenant] => owners.contains(&Some(tenant.as_str())),
@@ -253,28 +257,29 @@
         };
         if !is_allowed {
             let cause = format!("{arrival:?} of {owners:?}, {:?}", request.identity);
-            self.violation(Rule::TenantOfKey, cause);
+            self.add_violation(Rule::TenantOfKey, cause);
         }
     }
 
-    /// The connection ended, or stalled, where a response was due.
+    /// Records that a connection ended or stalled before a response arrived.
     pub(crate) fn on_missing_response(&mut self, request: &ClientRequest, cause: &str) {
         let cause = format!("{} got no response: {cause}", request.request_id);
-        self.violation(Rule::CompleteOrDeclared, cause);
+        self.add_violation(Rule::CompleteOrDeclared, cause);
     }
 
-    /// The execution whose seal a response has, if that is of the request.
+    /// Returns the execution that the seal of a response identifies. Reports a violation if that is not an execution of
+    /// this request.
     fn check_seal(&mut self, request: &ClientRequest, seal: &str) -> Option<Execution> {
-        let execution = self.log.sealed_by(seal);
-        let own = execution.filter(|execution| request.is_of(execution));
-        if own.is_none() {
+        let execution = self.log.execution_by_seal(seal);
+        let matching = execution.filter(|execution| request.matches(execution));
+        if matching.is_none() {
             let cause = format!("{} got the seal {seal}", request.request_id);
-            self.violation(Rule::OwnResponseOnly, cause);
+            self.add_violation(Rule::OwnResponseOnly, cause);
         }
-        own
+        matching
     }
 
-    /// A replica's response as it arrived.
+    /// Checks the id and the body of a replica's response that was forwarded to a client.
     fn check_forwarded(
         &mut self,
         request: &ClientRequest,
@@ -285,15 +290,15 @@
         let id = &request.request_id;
         if head.header("x-attempt-id") != Some(id) {
             let cause = format!("{id} got a response with another id");
-            self.violation(Rule::OwnResponseOnly, cause);
+            self.add_violation(Rule::OwnResponseOnly, cause);
         }
         if body != response_body(&execution.backend, &execution.path, &execution.request_id) {
             let cause = format!("{id} got another body");
-            self.violation(Rule::CompleteOrDeclared, cause);
+            self.add_violation(Rule::CompleteOrDeclared, cause);
         }
     }
 
-    /// A response merged from parts.
+    /// Checks a merged response.
     fn check_merged(&mut self, request: &ClientRequest, head: &Head, body: &[u8]) {
         let id = &request.request_id;
         let seals: Vec<&str> = head
@@ -310,7 +315,7 @@
         }
         if missing != Some(MERGED_BACKENDS.len().saturating_sub(seals.len())) {
             let cause = format!("{id} was told that {missing:?} parts are missing");
-            self.violation(Rule::CompleteOrDeclared, cause);
+            self.add_violation(Rule::CompleteOrDeclared, cause);
         }
         let backends: BTreeSet<String> = seals
             .iter()
@@ -323,11 +328,11 @@
             .collect();
         if body != merge_top_records(parts.iter().map(Vec::as_slice), RECORD_LIMIT) {
             let cause = format!("{id} got other records");
-            self.violation(Rule::OwnResponseOnly, cause);
+            self.add_violation(Rule::OwnResponseOnly, cause);
         }
     }
 
-    /// Checks the requests as they reached replicas.
+    /// Checks all requests that arrived at replicas.
     fn check_arrivals(&mut self, requests: &[ClientRequest]) {
         let by_id: HashMap<&str, &ClientRequest> = requests
             .iter()
@@ -336,25 +341,25 @@
         for arrival in self.log.take_arrivals() {
             match by_id.get(arrival.request_id.as_str()) {
                 Some(request) => self.check_arrival(request, &arrival),
-                None => self.violation(Rule::TenantOfKey, format!("nobody sent {arrival:?}")),
+                None => self.add_violation(Rule::TenantOfKey, format!("nobody sent {arrival:?}")),
             }
         }
     }
 
-    /// Checks what can only be checked at the end; all violations.
+    /// Performs the checks that need the complete execution, and returns all violations.
     pub(crate) fn finish(&mut self) -> Vec<Violation> {
         for request_id in std::mem::take(&mut self.rejected) {
             let executions = self.log.executions_of(&request_id);
             if executions > 0 {
                 let cause = format!("{request_id} was rejected and executed {executions} times");
-                self.violation(Rule::RejectedNeverExecuted, cause);
+                self.add_violation(Rule::RejectedNeverExecuted, cause);
             }
         }
         for cause in self.log.take_misused_connections() {
-            self.violation(Rule::NoAmbiguousConnection, cause);
+            self.add_violation(Rule::NoAmbiguousConnection, cause);
         }
         for cause in self.log.take_leaked_keys() {
-            self.violation(Rule::KeyNeverForwarded, cause);
+            self.add_violation(Rule::KeyNeverForwarded, cause);
         }
         let requests = std::mem::take(&mut self.requests);
         self.check_arrivals(&requests);
@@ -362,7 +367,7 @@
             let executions = self.log.executions_of(&request.request_id);
             if request.kind == RequestKind::Mutating && executions > 1 {
                 let cause = format!("{} was executed {executions} times", request.request_id);
-                self.violation(Rule::MutatingAtMostOnce, cause);
+                self.add_violation(Rule::MutatingAtMostOnce, cause);
             }
         }
         std::mem::take(&mut self.violations)
