--- a/crates/linenthread-demo/src/client.rs
+++ b/crates/linenthread-demo/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of clients and operators: at one address, or at any that responds clearly.
+//! Calls of clients and operators: to one address, or to several until one gives a final response.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,45 +13,46 @@
 
 use crate::order::{Order, STEADY_KEY};
 
-/// The time-out of one call at one address, where several are tried.
+/// The time-out of one call to one address if several addresses are tried.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A caller follows so many redirects one after another.
+/// The number of redirects that are followed after one call.
 const MAX_REDIRECTS: usize = 2;
-/// Between two rounds of calls without a clear response.
+/// The delay before all addresses are tried again after none gave a final response.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// A query's response may come so much later than the query's own deadline.
+/// How long after the deadline of a query its response is still awaited.
 const QUERY_SLACK: Duration = Duration::from_secs(1);
 
-/// What a caller sees of one call.
+/// The outcome of a call as its caller sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallOutcome {
-    /// The HTTP status; `None` if no response came, or none that can be read.
+    /// The HTTP status; `None` without a valid response.
     pub status: Option<u16>,
-    /// The body of the response.
+    /// The body of the response; empty without one.
     pub body: Vec<u8>,
-    /// Where a redirect leads.
+    /// The address that a redirect names.
     pub location: Option<SocketAddr>,
-    /// How long the caller waited.
+    /// The time from the start of the call to its outcome.
     pub elapsed: Duration,
 }
 
 impl CallOutcome {
-    /// Whether the call has a response of this status.
+    /// Reports whether the call has a response with this status.
     pub fn is(&self, status: u16) -> bool {
         self.status == Some(status)
     }
 
-    /// Whether the response says what is the case. No response, a redirect, 5xx, 408 and 429 leave it open.
-    pub fn is_clear(&self) -> bool {
+    /// Reports whether the response is final. After no response, a redirect, 5xx, 408 or 429 the outcome of the call is
+    /// unknown.
+    pub fn is_final(&self) -> bool {
         self.status.is_some_and(is_final)
     }
 
-    /// Whether the response is this status, or leaves open what is the case.
-    pub(crate) fn is_or_unclear(&self, status: u16) -> bool {
-        self.is(status) || !self.is_clear()
+    /// Reports whether the response has this status or isn't final.
+    pub(crate) fn is_or_not_final(&self, status: u16) -> bool {
+        self.is(status) || !self.is_final()
     }
 
-    /// The revision in the body.
+    /// Returns the revision in the body, if it is a configuration.
     pub fn revision(&self) -> Option<u64> {
         serde_json::from_slice::<serde_json::Value>(&self.body).ok()?["revision"].as_u64()
     }
@@ -77,25 +78,25 @@
 
 // --- operators, at one control node ---
 
-/// Sends an order to one control node.
+/// Sends an order to a control node, without following redirects.
 pub fn replace_at(peer: SocketAddr, order: &Order, timeout: Duration) -> CallOutcome {
     let headers = order.headers();
     call(peer, &order.request(&headers), timeout)
 }
 
-/// Reads the configuration at one control node.
+/// Reads the configuration at a control node, without following redirects.
 pub fn read_at(peer: SocketAddr, timeout: Duration) -> CallOutcome {
     call(peer, &Request::get(READ_CONFIGURATION_PATH), timeout)
 }
 
-/// The members as one control node knows them.
+/// Reads the members at a control node; `None` without a valid response.
 pub(crate) fn members_at(peer: SocketAddr) -> Option<MembersStatus> {
     let outcome = call(peer, &Request::get(MEMBERS_PATH), CALL_TIMEOUT);
     let members = serde_json::from_slice(&outcome.body).ok();
     members.filter(|_| outcome.is(OK))
 }
 
-/// Whether a control node knows that a replica drains.
+/// Reports whether a control node lists a replica as draining.
 pub(crate) fn is_draining_at(peer: SocketAddr, replica: &str) -> bool {
     let outcome = call(peer, &Request::get(REPLICAS_PATH), CALL_TIMEOUT);
     let replicas: Vec<ReplicaStatus> = serde_json::from_slice(&outcome.body).unwrap_or_default();
@@ -104,7 +105,7 @@
         .any(|known| known.id == replica && known.phase == ReplicaPhase::Draining)
 }
 
-/// Sends the heartbeat of a replica that drains to one control node.
+/// Sends the heartbeat of a draining replica to a control node.
 pub fn drain_at(peer: SocketAddr, replica: &str, service: &str, timeout: Duration) -> CallOutcome {
     let heartbeat = json!({"backend": service, "address": "127.0.0.1:9", "zone": "zone-0", "revision": "v1",
         "capacity": 3, "phase": "draining", "warmup_ms": 0, "call_count": 1_000_000});
@@ -120,19 +121,19 @@
 
 // --- operators, at any control node ---
 
-/// Sends an order to one address after another until one responds clearly, or the time is over.
-pub fn replace_anywhere(addresses: &[SocketAddr], order: &Order, timeout: Duration) -> CallOutcome {
-    call_anywhere(addresses, timeout, |peer, left| {
-        replace_at(peer, order, left)
+/// Sends an order to one address after another until one gives a final response, or until the time-out.
+pub fn replace_at_any(addresses: &[SocketAddr], order: &Order, timeout: Duration) -> CallOutcome {
+    call_at_any(addresses, timeout, |peer, remaining| {
+        replace_at(peer, order, remaining)
     })
 }
 
-/// Reads at one address after another until one responds clearly, or the time is over.
-pub(crate) fn read_anywhere(addresses: &[SocketAddr], timeout: Duration) -> CallOutcome {
-    call_anywhere(addresses, timeout, read_at)
+/// Reads the configuration at one address after another until one gives a final response, or until the time-out.
+pub(crate) fn read_at_any(addresses: &[SocketAddr], timeout: Duration) -> CallOutcome {
+    call_at_any(addresses, timeout, read_at)
 }
 
-fn call_anywhere(
+fn call_at_any(
     addresses: &[SocketAddr],
     timeout: Duration,
     call: impl Fn(SocketAddr, Duration) -> CallOutcome,
@@ -141,11 +142,11 @@
     let mut last = CallOutcome::default();
     loop {
         for peer in addresses {
-            let left = timeout.saturating_sub(started_at.elapsed());
-            if !left.is_zero() {
-                last = follow_redirects(*peer, left.min(CALL_TIMEOUT), &call);
+            let remaining = timeout.saturating_sub(started_at.elapsed());
+            if !remaining.is_zero() {
+                last = follow_redirects(*peer, remaining.min(CALL_TIMEOUT), &call);
             }
-            if left.is_zero() || last.is_clear() {
+            if remaining.is_zero() || last.is_final() {
                 return CallOutcome {
                     elapsed: started_at.elapsed(),
                     ..last
@@ -173,10 +174,10 @@
 
 // --- clients ---
 
-/// Sends a query of the steady tenant to an ingress node, with a deadline.
+/// Sends a query with [`STEADY_KEY`] and a deadline to an ingress node.
 ///
 /// # Errors
-/// The ingress node could not be reached, or what it sent is no response.
+/// The ingress node could not be reached, or its response is invalid.
 pub(crate) fn query_at(
     peer: SocketAddr,
     method: &str,
@@ -203,14 +204,14 @@
     ]
 }
 
-/// A client of a tenant, on one connection to an ingress node that it keeps.
+/// A tenant's client with a persistent connection to an ingress node.
 pub(crate) struct TenantClient {
     connection: Connection,
     key: String,
 }
 
 impl TenantClient {
-    /// Connects; each of its queries will carry this key.
+    /// Connects to an ingress node; all queries will carry this key.
     ///
     /// # Errors
     /// The ingress node could not be reached.
@@ -221,10 +222,10 @@
         })
     }
 
-    /// Sends a query with a deadline; the connection must outlive it.
+    /// Sends a query with a deadline and waits for its response on the same connection.
     ///
     /// # Errors
-    /// The connection ended, or what came on it is no response.
+    /// The connection ended, or the response is invalid.
     pub(crate) fn query(
         &mut self,
         path: &str,
--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of the system's processes on this machine, started, paused, killed and added to on demand.
+//! A cluster of the system's processes on this machine: starts, pauses, kills and adds them on demand.
 
 use std::collections::hash_map::RandomState;
 use std::hash::BuildHasher;
@@ -19,51 +19,49 @@
 use crate::replica::{Replica, ReplicaFaults};
 use crate::transcript::Transcript;
 
-/// How many control nodes the settings of a process name.
+/// The number of control nodes that the settings of a process name.
 const BOOTSTRAP_NODES: usize = 3;
-/// Zones that machines and replicas are spread over.
+/// The number of zones that machines and replicas are spread over.
 const ZONES: usize = 3;
-/// How often members that are waited for are read.
+/// The time between two reads of the members in [`Cluster::wait_for_members`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The deadline of a query.
 const QUERY_DEADLINE: Duration = Duration::from_secs(3);
-/// How long a process may take to shut down.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(60);
-/// How often all control nodes are tried with a configuration.
+/// How often [`Cluster::configure`] tries all control nodes.
 const REPLACE_ROUNDS: usize = 20;
 
 /// Control nodes, ingress nodes and stub replicas. Machines are named `control-1`, `ingress-1` and so on.
 pub struct Cluster {
     program: PathBuf,
     folder: tempfile::TempDir,
-    /// The first three numbers of all addresses: clusters beside each other do not meet.
+    /// The first three numbers of all addresses. Drawn at random, so that concurrent clusters use different addresses.
     network: String,
     machines: Vec<Machine>,
     /// Where the processes report usage.
     platform: Option<PlatformSettings>,
-    /// Further lines of the settings files of machines that are added.
+    /// Additional lines of the settings files of machines that are added.
     further_settings: String,
     lines: LogLines,
-    /// The stub replicas.
+    /// The stub replicas, in the order in which they were started.
     pub replicas: Vec<Replica>,
 }
 
-/// A network of 127.0.0.0/8, drawn at random.
+/// Returns the first three numbers of a random network in 127.0.0.0/8.
 fn draw_network() -> String {
     let [.., middle, low] = RandomState::new().hash_one(1).to_be_bytes();
     format!("127.{}.{}", 1 + low % 250, 1 + (middle & 0x7f))
 }
 
 impl Cluster {
-    /// A cluster of this program, with nothing started.
+    /// Creates a cluster that will run this program; starts no process.
     ///
     /// # Errors
-    /// There is no folder for its files.
+    /// The folder for its files can't be created.
     pub fn new(program: &Path) -> Result<Cluster, DemoError> {
         Cluster::with_transcript(program, Transcript::default())
     }
 
-    /// The same; what the processes write is added to this transcript.
+    /// Creates a cluster whose processes' output is added to this transcript.
     pub(crate) fn with_transcript(
         program: &Path,
         transcript: Transcript,
@@ -80,7 +78,7 @@
         })
     }
 
-    /// The settings files of machines that are added from now on have these lines, too.
+    /// Appends these lines to the settings files of all machines that are added from now on.
     pub fn set_further_settings(&mut self, lines: &str) {
         lines.clone_into(&mut self.further_settings);
     }
@@ -109,22 +107,22 @@
             .collect()
     }
 
-    /// Names of all control nodes.
+    /// Returns the names of all control nodes.
     pub fn control_names(&self) -> Vec<String> {
         self.names_of(Role::Control)
     }
 
-    /// Names of all ingress nodes.
+    /// Returns the names of all ingress nodes.
     pub fn ingress_names(&self) -> Vec<String> {
         self.names_of(Role::Ingress)
     }
 
-    /// Control addresses of all control nodes.
+    /// Returns the control addresses of all control nodes.
     pub fn control_addresses(&self) -> Vec<SocketAddr> {
         self.control_addresses_except(&[])
     }
 
-    /// Control addresses of all control nodes but these.
+    /// Returns the control addresses of all control nodes except those with these names.
     pub fn control_addresses_except(&self, names: &[&str]) -> Vec<SocketAddr> {
         self.machines_of(Role::Control)
             .filter(|machine| !names.contains(&machine.name.as_str()))
@@ -132,36 +130,36 @@
             .collect()
     }
 
-    /// The control address of one control node.
+    /// Returns the control address of a control node; `None` if there is no such node.
     pub fn control_address(&self, name: &str) -> Option<SocketAddr> {
         self.machine(name)?.address(Port::Control)
     }
 
-    /// Where all ingress nodes take queries.
+    /// Returns the addresses at which the ingress nodes accept queries.
     pub fn ingress_addresses(&self) -> Vec<SocketAddr> {
         self.machines_of(Role::Ingress)
             .filter_map(|machine| machine.address(Port::Ingress))
             .collect()
     }
 
-    /// Where an ingress node takes queries.
+    /// Returns the address at which an ingress node accepts queries; `None` if there is no such node.
     pub fn ingress_address(&self, name: &str) -> Option<SocketAddr> {
         self.machine(name)?.address(Port::Ingress)
     }
 
-    /// Where an ingress node reports whether it is ready.
+    /// Returns the address of an ingress node's readiness check; `None` if there is no such node.
     pub fn readiness_address(&self, name: &str) -> Option<SocketAddr> {
         self.machine(name)?.address(Port::Readiness)
     }
 
     // --- processes ---
 
-    /// Machines that are added from now on report usage to this platform.
+    /// Makes all machines that are added from now on report usage to this platform.
     pub fn report_usage_to(&mut self, platform: PlatformSettings) {
         self.platform = Some(platform);
     }
 
-    /// Adds a machine with the next free address, in the next zone; returns its name.
+    /// Adds a machine with the next free address, in the next zone, and returns its name.
     fn add_machine(&mut self, role: Role) -> String {
         let index = self.machines.len();
         let number = 1 + self.machines_of(role).count();
@@ -175,7 +173,8 @@
         name
     }
 
-    /// Starts so many control nodes and ingress nodes: the first start of the system.
+    /// Adds this many control nodes and ingress nodes and starts them with `initial_boot`, as at the first start of the
+    /// system.
     ///
     /// # Errors
     /// A process can't be started.
@@ -205,7 +204,7 @@
             .collect()
     }
 
-    /// Starts one more control node, with an empty disk; returns its name.
+    /// Adds and starts a control node with an empty disk, and returns its name.
     ///
     /// # Errors
     /// Its process can't be started.
@@ -219,10 +218,10 @@
         Ok(name)
     }
 
-    /// Starts the process of a machine.
+    /// Starts the process of a machine; does nothing if there is no such machine.
     ///
     /// # Errors
-    /// It can't be started.
+    /// The settings file can't be written, or the process can't be started.
     pub fn start_process(&mut self, name: &str) -> Result<(), DemoError> {
         let program = self.program.clone();
         let Some(machine) = self.machine_mut(name) else {
@@ -230,15 +229,16 @@
         };
         let output = machine.start(&program)?;
         if let Some(stdout) = output.stdout {
-            self.lines.follow(name, stdout);
+            self.lines.follow_stdout(name, stdout);
         }
         if let Some(stderr) = output.stderr {
-            self.lines.follow_errors(name, stderr);
+            self.lines.follow_stderr(name, stderr);
         }
         Ok(())
     }
 
-    /// Kills the process of a machine, and forgets its log lines.
+    /// Kills the process of a machine, even if it is paused, and forgets its log lines (see
+    /// [`forget_lines`](Cluster::forget_lines)).
     pub fn kill(&mut self, name: &str) {
         if let Some(machine) = self.machine_mut(name) {
             machine.kill();
@@ -246,18 +246,19 @@
         self.forget_lines(name);
     }
 
-    /// Sends the process of a machine a signal; false if it has none or the signal can't be sent.
+    /// Sends a signal to the process of a machine; returns false if it has none or the signal can't be sent.
     pub fn signal(&mut self, name: &str, signal: Signal) -> bool {
         self.machine(name)
             .is_some_and(|machine| machine.signal(signal))
     }
 
-    /// Waits until the process of a machine has exited; `None` when the time is over.
+    /// Waits until the process of a machine has exited; returns `None` after the time-out.
     pub fn wait_for_exit(&mut self, name: &str, timeout: Duration) -> Option<ExitStatus> {
         self.machine_mut(name)?.wait_for_exit(timeout)
     }
 
-    /// Asks the process of a machine to shut down and waits until it has; true if it exited with success in time.
+    /// Asks the process of a machine to shut down and waits for its exit; returns whether it exited with success within
+    /// 60 s.
     pub fn shut_down(&mut self, name: &str) -> bool {
         self.signal(name, Signal::Terminate)
             && self
@@ -265,12 +266,12 @@
                 .is_some_and(|status| status.success())
     }
 
-    /// Whether the process of a machine runs.
+    /// Reports whether the process of a machine is running or paused.
     pub fn is_running(&mut self, name: &str) -> bool {
         self.machine_mut(name).is_some_and(Machine::is_running)
     }
 
-    /// Erases the disk of a machine; its next start is not the first one of the system.
+    /// Erases the disk of a machine; its next start is without `initial_boot`.
     ///
     /// # Errors
     /// A file can't be removed.
@@ -278,34 +279,36 @@
         self.machine_mut(name).map_or(Ok(()), Machine::erase_disk)
     }
 
-    /// The bytes of all files on the disk of a machine.
+    /// Returns the total size of all files on the disk of a machine, in bytes.
     pub fn disk_bytes(&self, name: &str) -> u64 {
         self.machine(name).map_or(0, Machine::disk_bytes)
     }
 
     // --- log lines and members ---
 
-    /// Waits until a process has written a line that contains all of these parts; false when the time is over.
+    /// Waits until a process has written a line that contains all of these parts; returns false after the time-out.
     pub fn wait_for_line(&mut self, name: &str, parts: &[&str], timeout: Duration) -> bool {
         self.lines.wait_for(name, parts, timeout)
     }
 
-    /// The lines of a process so far that contain any of these parts.
+    /// Returns the lines that a process has written so far and that contain any of these parts.
     pub fn lines_with_any(&mut self, name: &str, parts: &[&str]) -> Vec<String> {
         self.lines.lines_with_any(name, parts)
     }
 
-    /// The lines of all processes so far that contain any of these parts, also forgotten ones.
+    /// Returns the lines that all processes have written so far and that contain any of these parts, including
+    /// forgotten lines.
     pub fn all_lines_with_any(&mut self, parts: &[&str]) -> Vec<String> {
         self.lines.all_lines_with_any(parts)
     }
 
-    /// Forgets the lines of a process so far: no wait is met by them any more.
+    /// Forgets the lines that a process has written so far: later calls of
+    /// [`wait_for_line`](Cluster::wait_for_line) and [`lines_with_any`](Cluster::lines_with_any) ignore them.
     pub fn forget_lines(&mut self, name: &str) {
         self.lines.forget(name);
     }
 
-    /// Waits until the members as one control node knows them are as expected; false when the time is over.
+    /// Waits until the members that a control node reports are as expected; returns false after the time-out.
     pub fn wait_for_members(
         &self,
         name: &str,
@@ -329,18 +332,18 @@
 
     // --- replicas and calls ---
 
-    /// Starts stub replicas of a service; they send heartbeats to the control nodes until they are dropped.
+    /// Starts stub replicas of a service; they send heartbeats to the control nodes until they crash or are dropped.
     ///
     /// # Errors
-    /// A replica has no port.
+    /// A replica can't listen.
     pub fn start_replicas(&mut self, service: &str, count: usize) -> Result<(), DemoError> {
         self.start_faulty_replicas(service, count, ReplicaFaults::None)
     }
 
-    /// Starts stub replicas that respond wrongly at times.
+    /// Starts stub replicas of a service that respond with these faults.
     ///
     /// # Errors
-    /// A replica has no port.
+    /// A replica can't listen.
     pub fn start_faulty_replicas(
         &mut self,
         service: &str,
@@ -357,8 +360,8 @@
         Ok(())
     }
 
-    /// Sends a configuration until a control node has committed it: routes of one index over some services, and of
-    /// single ones. Nobody needs a key.
+    /// Sends the configuration of [`Order::without_clients`] to the control nodes until one of them gives a final
+    /// response, and returns that response.
     ///
     /// # Errors
     /// No control node gave a final response.
@@ -377,10 +380,10 @@
         client.send(&order.request(&headers), REPLACE_ROUNDS)
     }
 
-    /// Sends a query to an ingress node, as a client does.
+    /// Sends a query to an ingress node with the key [`STEADY_KEY`](crate::STEADY_KEY) and a deadline of 3 s.
     ///
     /// # Errors
-    /// The ingress node could not be reached, or what it sent is no response.
+    /// The ingress node could not be reached, or its response is invalid.
     pub fn query(&self, name: &str, path: &str, attempt: &str) -> Result<Response, RequestError> {
         let peer = self.ingress_address(name).ok_or(RequestError::NoAddress)?;
         query_at(peer, "GET", path, attempt, QUERY_DEADLINE)
--- a/crates/linenthread-demo/src/command_error.rs
+++ b/crates/linenthread-demo/src/command_error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the commands.
 
 use std::io;
 
@@ -6,7 +6,6 @@
 use linenthread_demo::DemoError;
 use snafu::Snafu;
 
-/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum CommandError {
@@ -17,17 +16,17 @@
         revision: u64,
         source: NoFinalResponse,
     },
-    #[snafu(display("configuration {revision} has the response {status}"))]
+    #[snafu(display("configuration {revision} was rejected with status {status}"))]
     Rejected { revision: u64, status: u16 },
     #[snafu(display("{machine} did not log {event} in time"))]
     NotLogged {
         machine: String,
         event: &'static str,
     },
-    #[snafu(display("{machine} gave no complete response"))]
+    #[snafu(display("{machine} sent no complete response"))]
     Incomplete { machine: String },
-    #[snafu(display("there were {count} violations"))]
+    #[snafu(display("{count} violations"))]
     Violations { count: usize },
-    #[snafu(context(false), display("printing: {source}"))]
+    #[snafu(context(false), display("writing to standard output: {source}"))]
     Print { source: io::Error },
 }
--- a/crates/linenthread-demo/src/error.rs
+++ b/crates/linenthread-demo/src/error.rs
@@ -1,58 +1,58 @@
-//! Why a cluster could not be set up.
+//! Errors in the set-up of a cluster.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// A step in the set-up of a cluster that failed.
+/// An error in the set-up of a cluster.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DemoError {
-    /// There is no folder for the cluster's files.
+    /// The folder for the cluster's files can't be created.
     #[snafu(display("creating a folder for the cluster: {source}"))]
     CreateFolder {
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The settings of a machine were not written.
+    /// The settings file of a machine can't be written.
     #[snafu(display("writing the settings {}: {source}", path.display()))]
     WriteSettings {
         /// The settings file.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A process was not started.
-    #[snafu(display("starting {machine} by {}: {source}", program.display()))]
+    /// A process can't be started.
+    #[snafu(display("starting {machine} with {}: {source}", program.display()))]
     StartProcess {
-        /// The machine.
+        /// The name of the machine.
         machine: String,
         /// The program.
         program: PathBuf,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The disk of a machine was not erased.
+    /// The state folder of a machine can't be removed.
     #[snafu(display("erasing {}: {source}", path.display()))]
     EraseDisk {
         /// The state folder.
         path: PathBuf,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A stub replica has no port.
+    /// A stub replica can't listen.
     #[snafu(display("listening for the replica {replica}: {source}"))]
     StartReplica {
         /// The id of the replica.
         replica: String,
-        /// What the operating system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The cluster did not get ready in time.
-    #[snafu(display("{what} in time"))]
+    /// The cluster was not ready in time.
+    #[snafu(display("the cluster was not ready in time: {what}"))]
     NotReady {
-        /// What did not happen.
+        /// The condition that was not met.
         what: String,
     },
 }
--- a/crates/linenthread-demo/src/flags.rs
+++ b/crates/linenthread-demo/src/flags.rs
@@ -1,23 +1,23 @@
-//! The command line.
+//! Command-line flags.
 
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// The system at work on loopback, step by step; it ends by itself.
+    /// Runs the system on loopback through a series of failures, then exits.
     cmd linenthread-demo {
-        /// The daemon to run; by default linenthread-node beside this program.
+        /// The daemon to run; by default linenthread-node in the folder of this program.
         optional --program path: PathBuf
-        /// The steps, one after another. This is the default.
+        /// Runs the steps one after another. This is the default.
         default cmd show {}
-        /// Rounds of the worst days, with moments drawn at random; exit 1 at a violation.
+        /// Runs rounds of fault scenarios, with faults at random moments; exits with 1 after a violation.
         cmd rounds {
-            /// How many rounds; 1 by default.
+            /// The number of rounds; 1 by default.
             optional --rounds count: u64
-            /// The seed of the first round; the next ones follow.
+            /// The seed of the first round, 1 by default; each further round adds 1.
             optional --seed seed: u64
-            /// Only the scenarios of this point, 1 to 7.
+            /// Runs only the scenarios of this point, 1 to 7.
             optional --point point: u8
-            /// As short as the tests.
+            /// Uses the short durations and counts of the tests.
             optional --brief
         }
     }
--- a/crates/linenthread-demo/src/lib.rs
+++ b/crates/linenthread-demo/src/lib.rs
@@ -1,10 +1,10 @@
-//! The system at work on loopback, to show it and to test it with real processes, sockets, signals and disks.
+//! Runs the whole system on loopback, for demonstration and for tests with real processes, sockets, signals and disks.
 //!
-//! A [`Cluster`] starts control nodes and ingress nodes, each at an address of its own in 127.0.0.0/8, and stub
-//! [`Replica`]s that record what they run and fail on demand. [`client`] calls the system as clients and operators do;
-//! [`scenarios`] inject the faults of the worst days of a deployment and check what callers see.
+//! A [`Cluster`] starts control nodes and ingress nodes, each at its own address in 127.0.0.0/8, and stub [`Replica`]s
+//! that record the requests they run and fail on demand. [`client`] sends calls as clients and operators do;
+//! [`scenarios`] inject faults and check what callers see.
 //!
-//! The package must not know the daemon's code: it starts the program, reads its log and calls its ports.
+//! This package must not depend on the daemon's code: it starts the program, reads its log and calls its ports.
 //!
 //! Start reading at [`Cluster`], then at [`scenarios::Scenario`].
 
--- a/crates/linenthread-demo/src/log_lines.rs
+++ b/crates/linenthread-demo/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! The log lines of all processes, and waits for some of them.
+//! Collects the output lines of all processes and waits for lines with given contents.
 
 use std::io::{BufRead, BufReader, Read};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -31,9 +31,8 @@
     sender: Sender<Line>,
     receiver: Receiver<Line>,
     received: Vec<Line>,
-    /// Lines of processes that were killed, or that no wait may be met by any more.
+    /// Lines that [`LogLines::wait_for`] and [`LogLines::lines_with_any`] ignore.
     forgotten: Vec<Line>,
-    /// All lines are added to it as well.
     transcript: Transcript,
 }
 
@@ -49,13 +48,13 @@
         }
     }
 
-    /// Collects what a process writes until it ends.
-    pub(crate) fn follow(&self, machine: &str, output: impl Read + Send + 'static) {
+    /// Collects the standard output of a process until it exits.
+    pub(crate) fn follow_stdout(&self, machine: &str, output: impl Read + Send + 'static) {
         self.collect(machine, output, |_| {});
     }
 
-    /// The same for its standard error, which is shown too: that is where a panic is reported.
-    pub(crate) fn follow_errors(&self, machine: &str, output: impl Read + Send + 'static) {
+    /// Collects the standard error of a process and prints it as well, since panics are reported there.
+    pub(crate) fn follow_stderr(&self, machine: &str, output: impl Read + Send + 'static) {
         self.collect(machine, output, |text| eprintln!("{text}"));
     }
 
@@ -72,7 +71,7 @@
                 show(&text);
                 transcript.add(&machine, &text);
                 let machine = machine.clone();
-                // There is no receiver any more once the cluster is dropped.
+                // Fails once the cluster, and with it the receiver, is dropped.
                 let _ = sender.send(Line { machine, text });
             }
         });
@@ -82,14 +81,15 @@
         self.received.extend(self.receiver.try_iter());
     }
 
-    /// Forgets what a process wrote so far: no wait is met by it any more.
+    /// Forgets the lines that a process has written so far.
     pub(crate) fn forget(&mut self, machine: &str) {
         self.receive_pending();
         let forgotten = self.received.extract_if(.., |line| line.is_of(machine));
         self.forgotten.extend(forgotten);
     }
 
-    /// The lines of all processes so far that contain any of these parts, also forgotten ones.
+    /// Returns the lines that all processes have written so far and that contain any of these parts, including
+    /// forgotten lines.
     pub(crate) fn all_lines_with_any(&mut self, parts: &[&str]) -> Vec<String> {
         self.receive_pending();
         self.forgotten
@@ -100,7 +100,7 @@
             .collect()
     }
 
-    /// The lines of a process so far that contain any of these parts.
+    /// Returns the lines that a process has written so far and that contain any of these parts.
     pub(crate) fn lines_with_any(&mut self, machine: &str, parts: &[&str]) -> Vec<String> {
         self.receive_pending();
         self.received
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// Waits until a process has written a line that contains all of these parts; false when the time is over.
+    /// Waits until a process has written a line that contains all of these parts; returns false after the time-out.
     pub(crate) fn wait_for(&mut self, machine: &str, parts: &[&str], timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let is_wanted = |line: &Line| line.is_of(machine) && line.contains_all(parts);
@@ -118,13 +118,13 @@
             return true;
         }
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let Ok(line) = self.receiver.recv_timeout(left) else {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Ok(line) = self.receiver.recv_timeout(remaining) else {
                 return false;
             };
-            let is_found = is_wanted(&line);
+            let is_match = is_wanted(&line);
             self.received.push(line);
-            if is_found {
+            if is_match {
                 return true;
             }
         }
--- a/crates/linenthread-demo/src/machine.rs
+++ b/crates/linenthread-demo/src/machine.rs
@@ -1,4 +1,4 @@
-//! One machine of the cluster: its settings file, its process, the signals that it gets.
+//! One machine of the cluster: its settings file, its disk and its process, with the signals sent to it.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -11,20 +11,19 @@
 use crate::error::{DemoError, EraseDiskSnafu, StartProcessSnafu, WriteSettingsSnafu};
 use crate::platform_settings::PlatformSettings;
 
-/// Where a control node takes calls of replicas and operators.
+/// The port at which a control node accepts calls of replicas and operators.
 const CONTROL_PORT: u16 = 18_729;
-/// Where an ingress node takes queries.
+/// The port at which an ingress node accepts queries.
 const INGRESS_PORT: u16 = 18_726;
-/// Where an ingress node reports whether it is ready.
+/// The port of an ingress node's readiness check.
 const READINESS_PORT: u16 = 18_723;
 /// The first port for sessions between nodes.
 const FIRST_PEER_PORT: u16 = 17_120;
 /// The last port for sessions between nodes.
 const LAST_PEER_PORT: u16 = FIRST_PEER_PORT + 9;
-/// How often a process that is to end is checked.
+/// The time between two checks whether a process has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a machine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Control,
@@ -32,7 +31,7 @@
 }
 
 impl Role {
-    /// What names of machines of this role start with.
+    /// Returns the prefix of the names of machines with this role.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Role::Control => "control",
@@ -41,7 +40,6 @@
     }
 }
 
-/// A port of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Port {
     Control,
@@ -59,19 +57,19 @@
     }
 }
 
-/// A signal that a process gets.
+/// A signal to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Pauses it; the kernel goes on accepting connections for it.
+    /// Pauses the process; the kernel still accepts connections for it.
     Stop,
-    /// Resumes it.
+    /// Resumes the process.
     Continue,
-    /// Asks it to shut down.
+    /// Asks the process to shut down.
     Terminate,
 }
 
 impl Signal {
-    /// The option of the `kill` command.
+    /// Returns the option of the `kill` command.
     fn option(self) -> &'static str {
         match self {
             Signal::Stop => "-STOP",
@@ -81,32 +79,31 @@
     }
 }
 
-/// What a process writes.
+/// The output pipes of a process.
 pub(crate) struct ProcessOutput {
     pub(crate) stdout: Option<ChildStdout>,
     pub(crate) stderr: Option<ChildStderr>,
 }
 
-/// One machine.
 pub(crate) struct Machine {
     pub(crate) name: String,
     pub(crate) role: Role,
     ip: String,
     zone: String,
-    /// Addresses of control nodes that its settings name.
+    /// The control addresses for `bootstrap_peers`.
     pub(crate) bootstrap: Vec<String>,
-    /// It starts for the first time, with the whole system.
+    /// Whether its next start is the first start of the whole system.
     pub(crate) initial_boot: bool,
-    /// Where usage is reported.
+    /// The platform to which it reports usage, if any.
     pub(crate) platform: Option<PlatformSettings>,
-    /// Further lines of its settings file.
+    /// Additional lines of its settings file.
     pub(crate) further_settings: String,
     folder: PathBuf,
     process: Option<Child>,
 }
 
 impl Machine {
-    /// A machine that does not run yet; its files are in this folder.
+    /// Creates a machine without a process; its files will be in this folder.
     pub(crate) fn new(
         folder: &Path,
         role: Role,
@@ -128,17 +125,16 @@
         }
     }
 
-    /// Its address at this port.
     pub(crate) fn address(&self, port: Port) -> Option<SocketAddr> {
         format!("{}:{}", self.ip, port.number()).parse().ok()
     }
 
-    /// The folder of its disk.
+    /// Returns the folder that serves as its disk.
     fn state_folder(&self) -> PathBuf {
         self.folder.join(&self.name)
     }
 
-    /// The lines of its settings file.
+    /// Returns the content of its settings file.
     fn settings(&self) -> String {
         let ip = &self.ip;
         let binds = match self.role {
@@ -166,10 +162,10 @@
         )
     }
 
-    /// Writes its settings and starts its process; a later start is not the first one.
+    /// Writes its settings file and starts its process. Later starts are without `initial_boot`.
     ///
     /// # Errors
-    /// The settings can't be written, or the program can't be started.
+    /// The settings file can't be written, or the process can't be started.
     pub(crate) fn start(&mut self, program: &Path) -> Result<ProcessOutput, DemoError> {
         let path = self.folder.join(format!("{}.conf", self.name));
         std::fs::write(&path, self.settings()).context(WriteSettingsSnafu { path: &path })?;
@@ -193,7 +189,7 @@
         Ok(output)
     }
 
-    /// Sends its process a signal; false if it has none or the signal can't be sent.
+    /// Sends a signal to its process; returns false if it has none or the signal can't be sent.
     pub(crate) fn signal(&self, signal: Signal) -> bool {
         let Some(process) = &self.process else {
             return false;
@@ -205,16 +201,16 @@
         sent.is_ok_and(|status| status.success())
     }
 
-    /// Ends its process at once, paused or not.
+    /// Kills its process, even if it is paused.
     pub(crate) fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
-            // It may have ended already.
+            // Fails if the process has exited already.
             let _ = process.kill();
             let _ = process.wait();
         }
     }
 
-    /// Waits until its process has exited; `None` when the time is over.
+    /// Waits until its process has exited; returns `None` after the time-out, or if it has no process.
     pub(crate) fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -230,14 +226,14 @@
         }
     }
 
-    /// Whether its process runs, or is paused.
+    /// Reports whether its process is running or paused.
     pub(crate) fn is_running(&mut self) -> bool {
         self.process
             .as_mut()
             .is_some_and(|process| matches!(process.try_wait(), Ok(None)))
     }
 
-    /// Erases its disk.
+    /// Erases its disk; its next start is without `initial_boot`.
     ///
     /// # Errors
     /// A file can't be removed.
@@ -250,7 +246,7 @@
         }
     }
 
-    /// The bytes of all files on its disk.
+    /// Returns the total size of all files on its disk, in bytes.
     pub(crate) fn disk_bytes(&self) -> u64 {
         folder_bytes(&self.state_folder())
     }
--- a/crates/linenthread-demo/src/main.rs
+++ b/crates/linenthread-demo/src/main.rs
@@ -1,5 +1,5 @@
-//! `linenthread-demo`: the system at work on this machine. Three control nodes, two ingress nodes and six stub
-//! replicas of three services on loopback. `linenthread-demo rounds` runs the worst days of a deployment instead.
+//! `linenthread-demo`: runs the system on this machine, with three control nodes, two ingress nodes and six stub
+//! replicas of three services on loopback. `linenthread-demo rounds` runs the fault scenarios instead.
 
 mod command_error;
 mod flags;
@@ -11,10 +11,10 @@
 
 use linenthread_console::print_line;
 
-/// The exit code if there is no program to run.
+/// The exit code if the daemon's program can't be located.
 const USAGE_ERROR: u8 = 2;
 
-/// The daemon beside this program.
+/// Returns the path of the daemon in the folder of this program.
 fn default_program() -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
     Some(own.with_file_name("linenthread-node"))
@@ -34,7 +34,7 @@
         Err(error) => error.exit(),
     };
     let Some(program) = flags.program.or_else(default_program) else {
-        eprintln!("linenthread-demo: no program is named");
+        eprintln!("linenthread-demo: can't locate linenthread-node, use --program");
         return ExitCode::from(USAGE_ERROR);
     };
     let result = match flags.subcommand {
--- a/crates/linenthread-demo/src/order.rs
+++ b/crates/linenthread-demo/src/order.rs
@@ -1,19 +1,18 @@
-//! Orders of operators.
+//! Orders: the configuration changes that operators send.
 
 use linenthread_ctl::Request;
 use linenthread_ctl::control_api::{BASE_REVISION_HEADER, REPLACE_CONFIGURATION_PATH};
 use serde_json::{Value, json};
 
-/// The key of the tenant that each configuration of [`Order::new`] has.
+/// The key of the tenant that is the same in all configurations of [`Order::new`].
 pub const STEADY_KEY: &str = "k4steady8rrytapjsujqurt";
-/// Its name.
 const STEADY_TENANT: &str = "steady";
-/// What the keys of the other tenant begin with.
+/// The prefix of the other tenant's keys.
 pub(crate) const CHANGING_KEY_PREFIX: &str = "k7changing-yiikdrbn4ryrb-";
-/// The tenant whose only key each order of [`Order::new`] replaces.
+/// The tenant whose only key changes with each order of [`Order::new`].
 const CHANGING_TENANT: &str = "changing";
 
-/// The key that only orders of this revision have: the next one takes it away.
+/// Returns the key that only orders of this revision contain: the order of the next revision revokes it.
 pub fn key_of_revision(revision: u64) -> String {
     format!("{CHANGING_KEY_PREFIX}{revision}")
 }
@@ -21,14 +20,14 @@
 /// A tenant of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tenant {
-    /// Its name, which replicas are told.
+    /// The name, which is forwarded to replicas.
     pub name: &'static str,
     /// The keys of its clients.
     pub keys: Vec<String>,
 }
 
 impl Tenant {
-    /// A tenant with these keys.
+    /// Creates a tenant with these keys.
     pub fn new(name: &'static str, keys: &[&str]) -> Tenant {
         Tenant {
             name,
@@ -37,10 +36,10 @@
     }
 }
 
-/// An order of an operator: a configuration and the revision that it builds on.
+/// An operator's order: a configuration, and the revision that it replaces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The revision that it builds on; 0 for none.
+    /// The revision that the order replaces; 0 for none.
     pub base: u64,
     /// The revision of the configuration.
     pub revision: u64,
@@ -49,9 +48,10 @@
 }
 
 impl Order {
-    /// Routes over these services: `/all/` over all of them, `/NAME/` to a single one, and `/once/NAME/` with
-    /// requests that are not idempotent. Orders of one revision differ by their variant. Of two tenants, one has
-    /// [`STEADY_KEY`], the other the [key of the revision](key_of_revision).
+    /// Creates an order with routes to these services: `/all/` to all of them, `/NAME/` to a single one, and
+    /// `/once/NAME/` for requests that are not idempotent. Orders of one revision with different variants have
+    /// different configurations. Of the two tenants, one has [`STEADY_KEY`], the other the
+    /// [key of the revision](key_of_revision).
     pub fn new(base: u64, revision: u64, services: &[&str], variant: u64) -> Order {
         let mut document = document(revision, services, variant);
         document["clients"] = clients(&[
@@ -61,12 +61,12 @@
         Order::with_document(base, revision, &document)
     }
 
-    /// The same routes; nobody needs a key.
+    /// Creates an order with the same routes and without tenants: clients need no key.
     pub fn without_clients(base: u64, revision: u64, services: &[&str]) -> Order {
         Order::with_document(base, revision, &document(revision, services, 0))
     }
 
-    /// The same routes, for clients of these tenants only.
+    /// Creates an order with the same routes, open only to clients of these tenants.
     pub fn for_tenants(base: u64, revision: u64, services: &[&str], tenants: &[Tenant]) -> Order {
         let mut document = document(revision, services, 0);
         document["clients"] = clients(tenants);
@@ -81,17 +81,17 @@
         }
     }
 
-    /// The order that builds on this one.
+    /// Returns the order that replaces this one, of the next revision.
     pub(crate) fn next(&self, services: &[&str]) -> Order {
         Order::new(self.revision, self.revision + 1, services, 0)
     }
 
-    /// The headers of its call.
+    /// Returns the headers of [`request`](Order::request).
     pub(crate) fn headers(&self) -> [(&'static str, String); 1] {
         [(BASE_REVISION_HEADER, self.base.to_string())]
     }
 
-    /// The call that replaces the configuration, with its [`headers`](Order::headers).
+    /// Returns the call that replaces the configuration, with these [`headers`](Order::headers).
     pub(crate) fn request<'a>(&'a self, headers: &'a [(&'static str, String)]) -> Request<'a> {
         Request {
             method: "POST",
@@ -102,7 +102,6 @@
     }
 }
 
-/// The tenants of a configuration.
 fn clients(tenants: &[Tenant]) -> Value {
     tenants
         .iter()
@@ -110,18 +109,23 @@
         .collect()
 }
 
-/// The configuration of an order.
+/// Returns the configuration of an order, without its tenants.
 fn document(revision: u64, services: &[&str], variant: u64) -> Value {
     let all = json!({"fanout": services, "result_limit": 5, "min_coverage": 0.5});
     let mut routes = vec![route("all", "/all/", "idempotent", &all)];
     for service in services {
-        let to = json!({"backend": service});
-        routes.push(route(service, &format!("/{service}/"), "idempotent", &to));
+        let destination = json!({"backend": service});
+        routes.push(route(
+            service,
+            &format!("/{service}/"),
+            "idempotent",
+            &destination,
+        ));
         routes.push(route(
             &format!("once-{service}"),
             &format!("/once/{service}/"),
             "mutating",
-            &to,
+            &destination,
         ));
     }
     let backends: Vec<Value> = services
--- a/crates/linenthread-demo/src/platform_settings.rs
+++ b/crates/linenthread-demo/src/platform_settings.rs
@@ -1,23 +1,23 @@
-//! What the settings of all machines say of the platform that usage is reported to.
+//! The settings of the platform to which machines report usage.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use linenthread_fakes::platform::PlatformRules;
 
-/// A platform, and when reports are due there.
+/// The address and rules of a platform, and when reports are due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlatformSettings {
-    /// Where it is called.
+    /// The address of its API.
     pub address: SocketAddr,
-    /// The bounds that it goes by.
+    /// The rules that it enforces.
     pub rules: PlatformRules,
-    /// How long after the end of its window a report is due.
+    /// The time after the end of a window within which its report is due.
     pub report_delay: Duration,
 }
 
 impl PlatformSettings {
-    /// The lines of a settings file.
+    /// Returns the lines for a machine's settings file.
     pub(crate) fn lines(&self) -> String {
         let PlatformSettings {
             address,
--- a/crates/linenthread-demo/src/replica/connection.rs
+++ b/crates/linenthread-demo/src/replica/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a stub replica: requests one after another, each with its response, or with a fault.
+//! One connection of a stub replica: reads requests one after another and sends their responses, or injects a fault.
 
 use std::io::{ErrorKind, Read, Result, Write};
 use std::net::TcpStream;
@@ -11,32 +11,28 @@
 use super::records::records;
 use super::state::{ReceivedRequest, State};
 
-/// The longest request head.
 const MAX_HEAD_BYTES: usize = 16_384;
-/// The longest request body.
 const MAX_BODY_BYTES: usize = 1 << 20;
-/// Bytes that are read from the connection at once.
+/// The size of one read from the connection.
 const READ_BYTES: usize = 4_096;
-/// A late duplicate comes so much later.
+/// The delay of [`Fault::DuplicateLate`] after the first response.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(15);
-/// A connection without a response ends by itself after so long.
+/// With [`Fault::NoResponse`], the time after which the replica closes the connection if the caller doesn't.
 const NO_RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// What is sent of a truncated head.
+/// The number of bytes of a truncated head that are sent.
 const TRUNCATED_HEAD_BYTES: usize = 20;
-/// What is missing of a truncated body.
+/// The number of bytes of a truncated body that are not sent.
 const MISSING_BODY_BYTES: usize = 5;
-/// The response to a request for another replica.
+/// The response to a request whose target is another replica.
 const MISDIRECTED: &[u8] = b"HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n";
 
-/// What follows a response.
+/// What the connection does after a response.
 enum Next {
-    /// Another request.
-    Request,
-    /// The end of the connection.
-    End,
+    ReadRequest,
+    Close,
 }
 
-/// Serves one connection until it ends or the replica is down.
+/// Serves one connection until it ends or the replica is down; `number` selects the fault draws.
 pub(super) fn serve(stream: TcpStream, state: &State, number: u64) -> Result<()> {
     let mut connection = Connection {
         stream,
@@ -56,7 +52,7 @@
         }
         let request = received_request(&head);
         state.record(request.clone());
-        if let Next::End = connection.respond(&request)? {
+        if let Next::Close = connection.respond(&request)? {
             return Ok(());
         }
     }
@@ -78,12 +74,12 @@
     state: &'a State,
     draws: FaultDraws,
     buffer: BytesMut,
-    /// A duplicate that is sent before the next response.
+    /// The duplicate that is sent before the next response, if any.
     duplicate: Vec<u8>,
 }
 
 impl Connection<'_> {
-    /// Sends the response to a request, or does what the drawn fault is.
+    /// Sends the response to a request, with a fault if one is drawn.
     fn respond(&mut self, request: &ReceivedRequest) -> Result<Next> {
         let fault = self.draws.draw();
         if let Some(fault) = fault {
@@ -119,23 +115,23 @@
             }
             Some(Fault::TruncatedHead) => {
                 self.stream.write_all(&response[..TRUNCATED_HEAD_BYTES])?;
-                return Ok(Next::End);
+                return Ok(Next::Close);
             }
             Some(Fault::TruncatedBody) => {
                 let length = response.len() - MISSING_BODY_BYTES;
                 self.stream.write_all(&response[..length])?;
-                return Ok(Next::End);
+                return Ok(Next::Close);
             }
             Some(Fault::NoResponse) => {
-                self.wait_for_end()?;
-                return Ok(Next::End);
+                self.wait_for_close()?;
+                return Ok(Next::Close);
             }
-            Some(Fault::Closed) => return Ok(Next::End),
+            Some(Fault::Closed) => return Ok(Next::Close),
         }
-        Ok(Next::Request)
+        Ok(Next::ReadRequest)
     }
 
-    /// The response to a request; `id` is the attempt that it names.
+    /// Builds the response to a request; `id` is the attempt in its header, if any.
     fn response(&self, id: Option<&str>, request: &ReceivedRequest) -> Vec<u8> {
         let records = records(&self.state.service, &request.path);
         let id = id
@@ -151,7 +147,7 @@
         [head.as_bytes(), &records].concat()
     }
 
-    /// The next complete request; `None` when the connection has ended.
+    /// Reads the next complete request and returns its head; `None` when the connection has ended.
     fn read_request(&mut self) -> Result<Option<Head>> {
         let invalid = |_| ErrorKind::InvalidData;
         let head = loop {
@@ -181,8 +177,8 @@
         Ok(count)
     }
 
-    /// Sends nothing until the other side ends the connection.
-    fn wait_for_end(&mut self) -> Result<()> {
+    /// Sends nothing until the caller closes the connection, or until the time-out.
+    fn wait_for_close(&mut self) -> Result<()> {
         self.stream.set_read_timeout(Some(NO_RESPONSE_TIMEOUT))?;
         let mut bytes = [0; READ_BYTES];
         while self.stream.read(&mut bytes)? > 0 {}
--- a/crates/linenthread-demo/src/replica/faults.rs
+++ b/crates/linenthread-demo/src/replica/faults.rs
@@ -1,13 +1,13 @@
-//! How a stub replica may respond wrongly, drawn for each request by a seed.
+//! Faults in the responses of a stub replica, drawn for each request from a seed.
 
 use oorandom::Rand64;
 
-/// Whether a replica responds wrongly at all.
+/// Whether, and how often, a replica responds with faults.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ReplicaFaults {
-    /// It never does.
+    /// Never.
     None,
-    /// It does for a share of its requests.
+    /// For a share of its requests.
     Drawn {
         /// The seed of the draws.
         seed: u64,
@@ -16,30 +16,30 @@
     },
 }
 
-/// What goes wrong with one request. The replica has run it in each case.
+/// A fault in the response to one request. The replica has run the request in each case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
-    /// The response is sent twice at once.
+    /// The response is sent twice, one directly after the other.
     DuplicateAtOnce,
-    /// The response is sent again a little later, unasked.
+    /// The response is sent again after a short delay, before the next request is read.
     DuplicateLate,
-    /// The response is sent again before the one to the next request.
+    /// The response is sent again directly before the response to the next request.
     DuplicateBeforeNext,
-    /// The same, and the duplicate names no attempt.
+    /// As [`Fault::DuplicateBeforeNext`], but the duplicate has no attempt id.
     DuplicateWithoutId,
-    /// The response names another attempt, and its body is another's.
+    /// The response has the id of another attempt and the records of another path.
     OtherAttempt,
-    /// The connection ends within the head.
+    /// The connection is closed within the head of the response.
     TruncatedHead,
-    /// The connection ends within the body.
+    /// The connection is closed within the body of the response.
     TruncatedBody,
-    /// No response is sent.
+    /// No response is sent, and the connection stays open.
     NoResponse,
-    /// The connection ends without a response.
+    /// The connection is closed without a response.
     Closed,
 }
 
-/// All faults, one as likely as the other.
+/// All faults; each is equally likely.
 const FAULTS: [Fault; 9] = [
     Fault::DuplicateAtOnce,
     Fault::DuplicateLate,
@@ -53,7 +53,7 @@
 ];
 
 impl Fault {
-    /// Its name in counts.
+    /// Returns the name under which the fault is counted.
     pub(super) fn name(self) -> &'static str {
         match self {
             Fault::DuplicateAtOnce => "duplicate at once",
@@ -69,7 +69,7 @@
     }
 }
 
-/// Draws for the requests of one connection.
+/// Random draws of the faults on one connection.
 pub(super) struct FaultDraws {
     random: Rand64,
     share: f64,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What goes wrong with the next request, if anything.
+    /// Draws the fault for the next request, if any.
     pub(super) fn draw(&mut self) -> Option<Fault> {
         if self.random.rand_float() >= self.share {
             return None;
--- a/crates/linenthread-demo/src/replica/heartbeats.rs
+++ b/crates/linenthread-demo/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of a stub replica.
+//! Sends the heartbeats of a stub replica.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -9,12 +9,12 @@
 
 use super::state::State;
 
-/// How often a replica sends a heartbeat.
 const INTERVAL: Duration = Duration::from_millis(300);
-/// After so long without a response the next control node is tried.
+/// The time without a response after which the next control node is tried.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Sends heartbeats until `stop` is closed, to the control node that acknowledged last, else to the next.
+/// Sends heartbeats until `stop` is closed: to the control node that acknowledged the last one, or to the next one if it
+/// fails to acknowledge.
 pub(super) fn send(
     state: &State,
     address: SocketAddr,
--- a/crates/linenthread-demo/src/replica/mod.rs
+++ b/crates/linenthread-demo/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! Stub replicas: they respond with their service's records, record what they run, send heartbeats to the control
+//! Stub replicas: respond with their service's records, record the requests they run, send heartbeats to the control
 //! nodes, and fail on demand.
 
 mod connection;
@@ -23,12 +23,12 @@
 
 /// A running stub replica.
 pub struct Replica {
-    /// Its id.
+    /// The id in its heartbeats: `i-SERVICE-NUMBER`.
     pub id: String,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     state: Arc<State>,
-    /// Heartbeats are sent until this is dropped.
+    /// Dropping the sender stops the heartbeats.
     heartbeats: Option<Sender<()>>,
 }
 
@@ -59,21 +59,21 @@
         })
     }
 
-    /// All requests that it ran so far.
+    /// Returns all requests that it has run so far, in the order in which it received them.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         self.state.received()
     }
 
-    /// How often it responded wrongly so far, by the kind of fault.
+    /// Returns the number of responses with a fault so far, by the name of the fault.
     pub fn faults(&self) -> BTreeMap<&'static str, usize> {
         self.state.faults()
     }
 
-    /// It crashes: no more heartbeats, its connections end, its port refuses.
+    /// Simulates a crash: stops the heartbeats, ends its connections at their next request, and closes its port.
     pub fn crash(&mut self) {
         self.heartbeats = None;
         self.state.crash();
-        // Wakes the thread that listens.
+        // Wakes the listening thread, which then returns.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -90,7 +90,7 @@
             return;
         }
         let state = state.clone();
-        // A connection that fails is over; the other side sees that.
+        // An error ends the connection; the caller sees it closed.
         std::thread::spawn(move || drop(connection::serve(stream, &state, number)));
     }
 }
--- a/crates/linenthread-demo/src/replica/records.rs
+++ b/crates/linenthread-demo/src/replica/records.rs
@@ -1,15 +1,15 @@
-//! The records of a service.
+//! The records with which stub replicas respond.
 
 use linenthread_hash::Fnv1a64;
 
-/// Records of each path.
-const RECORDS: u8 = 8;
+/// The number of records of each path.
+const RECORD_COUNT: u8 = 8;
 
-/// The records that a service has for a path, in no order.
+/// Returns the records of a service for a path: eight records of 16 bytes, unsorted.
 pub fn records(service: &str, path: &str) -> Vec<u8> {
     let mut hash = Fnv1a64::default();
     let mut bytes = Vec::new();
-    for number in 0..RECORDS {
+    for number in 0..RECORD_COUNT {
         hash = hash
             .update(service.as_bytes())
             .update(path.as_bytes())
--- a/crates/linenthread-demo/src/replica/state.rs
+++ b/crates/linenthread-demo/src/replica/state.rs
@@ -1,4 +1,4 @@
-//! What the threads of one replica share.
+//! State shared by the threads of one stub replica.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -10,21 +10,20 @@
 /// A request that a replica ran.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedRequest {
-    /// The id of the attempt.
+    /// The id of the attempt; empty if the request has none.
     pub attempt: String,
     /// The path, with the query.
     pub path: String,
-    /// When it was received, since the start of 1970.
+    /// When it was received, as the time since the Unix epoch.
     pub received_at: Duration,
-    /// The tenant on whose behalf it was sent, if it names one.
+    /// The tenant on whose behalf it was sent, from `X-Client-Name`.
     pub tenant: Option<String>,
-    /// Whether it carried a client's key, in a header of the client's own.
+    /// Whether it had an `Authorization` header, in which clients send their key.
     pub has_key: bool,
 }
 
 pub(super) struct State {
     pub(super) service: String,
-    /// The replica's id.
     pub(super) id: String,
     pub(super) faults: ReplicaFaults,
     received: Mutex<Vec<ReceivedRequest>>,
--- a/crates/linenthread-demo/src/rounds.rs
+++ b/crates/linenthread-demo/src/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of all scenarios.
+//! The `rounds` command: runs all scenarios, or those of one point, for a number of rounds.
 
 use std::path::Path;
 use std::time::Instant;
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// Runs one scenario, prints what it found and returns the number of violations.
+/// Runs one scenario, prints its findings and returns the number of violations.
 fn run_scenario(
     program: &Path,
     scenario: Scenario,
--- a/crates/linenthread-demo/src/scenarios/catch_up.rs
+++ b/crates/linenthread-demo/src/scenarios/catch_up.rs
@@ -12,7 +12,7 @@
 use super::key_watch::{KeyWatch, check_keys};
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{SERVICES, describe, draw_one, start_cluster};
-use crate::client::{read_anywhere, read_at, replace_anywhere, replace_at};
+use crate::client::{read_at, read_at_any, replace_at, replace_at_any};
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 use crate::order::Order;
@@ -78,7 +78,7 @@
     let mut last = first;
     for _ in 0..changes {
         let order = last.next(&SERVICES);
-        let outcome = replace_anywhere(running, &order, RECOVERY_TIMEOUT);
+        let outcome = replace_at_any(running, &order, RECOVERY_TIMEOUT);
         findings.check(
             outcome.is(OK),
             "an order is acknowledged with one node down",
@@ -109,7 +109,7 @@
     let started_at = Instant::now();
     loop {
         let outcome = read_at(peer, CATCH_UP_TIMEOUT);
-        if outcome.is_clear() {
+        if outcome.is_final() {
             let is_newest = outcome.is(OK) && outcome.body == last.document;
             findings.check(is_newest, "its first read is the newest", || {
                 describe(&outcome)
@@ -139,7 +139,7 @@
     random: &mut Rand64,
 ) {
     for survivor in survivors {
-        let outcome = read_anywhere(&[*survivor], RECOVERY_TIMEOUT);
+        let outcome = read_at_any(&[*survivor], RECOVERY_TIMEOUT);
         findings.check(
             outcome.body == last.document,
             "reads are the newest with one of the old majority",
@@ -149,12 +149,12 @@
     for missed in missed_orders(last, random) {
         let outcome = replace_at(peer, &missed, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is_or_unclear(OK),
+            outcome.is_or_not_final(OK),
             "an order that it missed is not rejected when sent again",
             || format!("revision {}: {}", missed.revision, describe(&outcome)),
         );
     }
-    let outcome = replace_anywhere(survivors, &last.next(&SERVICES), RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(survivors, &last.next(&SERVICES), RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(OK),
         "a new order is acknowledged within the bound",
--- a/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
+++ b/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
@@ -13,7 +13,7 @@
 use super::key_watch::{KeyWatch, check_keys};
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{SERVICES, describe, draw_duration, draw_index, restart_all, start_cluster};
-use crate::client::{CALL_TIMEOUT, CallOutcome, replace_anywhere, replace_at};
+use crate::client::{CALL_TIMEOUT, CallOutcome, replace_at, replace_at_any};
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 use crate::order::Order;
@@ -101,7 +101,7 @@
             scope.spawn(move || {
                 together.wait();
                 std::thread::sleep(delay);
-                replace_anywhere(&own, order, RECOVERY_TIMEOUT)
+                replace_at_any(&own, order, RECOVERY_TIMEOUT)
             })
         };
         [send(0), send(1)].map(|thread| thread.join().unwrap_or_default())
@@ -123,13 +123,13 @@
 fn check_conflict(findings: &mut Findings, peer: SocketAddr, conflict: &Conflict) {
     let outcome = replace_at(peer, &conflict.committed, CALL_TIMEOUT);
     findings.check(
-        outcome.is_or_unclear(OK),
+        outcome.is_or_not_final(OK),
         "a committed order is never rejected",
         || describe(&outcome),
     );
     let outcome = replace_at(peer, &conflict.rejected, CALL_TIMEOUT);
     findings.check(
-        outcome.is_or_unclear(PRECONDITION_FAILED),
+        outcome.is_or_not_final(PRECONDITION_FAILED),
         "the other order is never committed",
         || describe(&outcome),
     );
@@ -137,13 +137,13 @@
 
 /// Of the newest conflict every node knows for sure.
 fn check_newest(findings: &mut Findings, peer: SocketAddr, newest: &Conflict) {
-    let outcome = replace_anywhere(&[peer], &newest.committed, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&[peer], &newest.committed, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(OK),
         "the newest order is acknowledged again",
         || describe(&outcome),
     );
-    let outcome = replace_anywhere(&[peer], &newest.rejected, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&[peer], &newest.rejected, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(PRECONDITION_FAILED),
         "the order in conflict with it is rejected at every node",
--- a/crates/linenthread-demo/src/scenarios/context.rs
+++ b/crates/linenthread-demo/src/scenarios/context.rs
@@ -1,4 +1,4 @@
-//! What a scenario is run with.
+//! The context in which a scenario runs.
 
 use std::path::Path;
 
@@ -10,17 +10,17 @@
 use crate::transcript::Transcript;
 
 pub(super) struct Context<'a> {
-    /// The daemon.
+    /// The path of the daemon's program.
     pub(super) program: &'a Path,
     pub(super) scale: &'a Scale,
-    /// Where all random numbers of the run come from.
+    /// The source of all random numbers of the run.
     pub(super) random: &'a mut Rand64,
-    /// What the processes write is added to it.
+    /// Collects the output of all processes.
     pub(super) transcript: Transcript,
 }
 
 impl Context<'_> {
-    /// A cluster with nothing started.
+    /// Creates a cluster without starting any process.
     pub(super) fn new_cluster(&self) -> Result<Cluster, DemoError> {
         Cluster::with_transcript(self.program, self.transcript.clone())
     }
--- a/crates/linenthread-demo/src/scenarios/findings.rs
+++ b/crates/linenthread-demo/src/scenarios/findings.rs
@@ -1,13 +1,13 @@
-//! What a scenario found.
+//! The results of a scenario's checks.
 
 use std::fmt;
 
-/// An invariant that did not hold.
+/// A failed check of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant, as a sentence that should hold.
     pub invariant: &'static str,
-    /// What was observed instead.
+    /// The observation that contradicts it.
     pub observed: String,
 }
 
@@ -17,19 +17,19 @@
     }
 }
 
-/// What one scenario found.
+/// The results of the checks of one scenario.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// How often an invariant was checked.
+    /// The number of checks, of all invariants together.
     pub checks: usize,
-    /// Invariants that did not hold.
+    /// The checks that failed.
     pub violations: Vec<Violation>,
-    /// Figures of interest, such as how long something took.
+    /// Additional information for the reader, such as durations and log lines.
     pub notes: Vec<String>,
 }
 
 impl Findings {
-    /// Checks an invariant; `observe` says what was observed if it does not hold.
+    /// Records a check of an invariant; calls `observe` for the observation if it does not hold.
     pub(super) fn check(
         &mut self,
         holds: bool,
@@ -45,7 +45,6 @@
         }
     }
 
-    /// Adds a figure of interest.
     pub(super) fn add_note(&mut self, text: String) {
         self.notes.push(text);
     }
--- a/crates/linenthread-demo/src/scenarios/late_retry.rs
+++ b/crates/linenthread-demo/src/scenarios/late_retry.rs
@@ -7,7 +7,7 @@
 use super::key_watch::{KeyWatch, check_keys};
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{SERVICES, describe, draw_index, restart_all, start_cluster};
-use crate::client::{CALL_TIMEOUT, read_anywhere, replace_anywhere, replace_at};
+use crate::client::{CALL_TIMEOUT, read_at_any, replace_at, replace_at_any};
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 use crate::order::Order;
@@ -20,7 +20,7 @@
     let mut orders = vec![first];
     for _ in 0..context.scale.later_orders {
         let order = last.next(&SERVICES);
-        let outcome = replace_anywhere(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
+        let outcome = replace_at_any(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
         findings.check(
             outcome.is(OK),
             "an order is acknowledged within the bound",
@@ -37,7 +37,7 @@
     check_retries(&mut findings, &cluster, &retries);
     restart_all(&mut cluster)?;
     check_retries(&mut findings, &cluster, &retries);
-    let read = read_anywhere(&cluster.control_addresses(), RECOVERY_TIMEOUT);
+    let read = read_at_any(&cluster.control_addresses(), RECOVERY_TIMEOUT);
     findings.check(
         read.body == last.document,
         "the newest configuration reads back",
@@ -53,7 +53,7 @@
         for order in orders {
             let outcome = replace_at(peer, order, CALL_TIMEOUT);
             findings.check(
-                outcome.is_or_unclear(OK),
+                outcome.is_or_not_final(OK),
                 "a committed order is never rejected",
                 || {
                     format!(
--- a/crates/linenthread-demo/src/scenarios/lost_quorum.rs
+++ b/crates/linenthread-demo/src/scenarios/lost_quorum.rs
@@ -13,7 +13,7 @@
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{INGRESS, SERVICES, describe, draw_one, start_cluster};
 use crate::client::{
-    CallOutcome, drain_at, members_at, query_at, read_at, replace_anywhere, replace_at,
+    CallOutcome, drain_at, members_at, query_at, read_at, replace_at, replace_at_any,
 };
 use crate::cluster::Cluster;
 use crate::error::DemoError;
@@ -91,7 +91,7 @@
 
 /// When the others are back, the order is committed and reaches the ingress node.
 fn check_recovery(findings: &mut Findings, cluster: &mut Cluster, order: &Order) {
-    let outcome = replace_anywhere(&cluster.control_addresses(), order, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&cluster.control_addresses(), order, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(OK),
         "the order is committed within the bound when the others are back",
@@ -132,7 +132,7 @@
 fn check_unavailable(findings: &mut Findings, peer: SocketAddr, first: &Order, second: &Order) {
     for NamedOutcome { call, outcome } in call_all(peer, first, second) {
         findings.check(
-            !outcome.is_clear(),
+            !outcome.is_final(),
             "nothing is settled without a quorum",
             || format!("{call}: {}", describe(&outcome)),
         );
--- a/crates/linenthread-demo/src/scenarios/mod.rs
+++ b/crates/linenthread-demo/src/scenarios/mod.rs
@@ -1,12 +1,13 @@
-//! The worst days of a deployment: each scenario starts a cluster of its own, injects one kind of fault, with
-//! moments drawn at random, and checks what callers see.
+//! Fault scenarios: each starts its own cluster, injects one kind of fault at random moments, and checks what callers
+//! see.
 //!
-//! The points 1 to 5 are the users' own list of what went wrong in systems of this kind; point 6 is the keys of
-//! tenants, which also change in the scenarios of points 1 to 4; point 7 is the reports of their usage. Each scenario's
-//! module says what its fault is and what must hold; a [`Violation`] names the invariant as it stands in the check.
+//! Scenarios are grouped by points. Points 1 to 5 are the failures that users listed from systems of this kind; point 6
+//! is about the keys of tenants, which also change in the scenarios of points 1 to 4; point 7 is about the reports of
+//! their usage. The module of each scenario documents its fault and what must hold; a [`Violation`] contains the
+//! invariant as the check states it.
 //!
 //! `linenthread-demo rounds` prints the seed and the point of each scenario. `linenthread-demo rounds --seed N --point P`
-//! draws the same faults again, at the same moments; what real processes and sockets do between them may differ.
+//! draws the same faults at the same moments again; the timing of real processes and sockets may differ.
 
 mod catch_up;
 mod conflicting_orders;
@@ -37,32 +38,33 @@
 pub use findings::{Findings, Violation};
 pub use scale::Scale;
 
-/// One kind of fault.
+/// A fault scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Point 1: a control node is paused for longer than every lease, and resumes with calls waiting.
+    /// Point 1: a control node is paused for longer than every lease, and calls are pending when it resumes.
     PausedNode,
     /// Point 1: two of three control nodes are paused.
     LostQuorum,
     /// Point 2: two operators send different orders of one revision.
     ConflictingOrders,
-    /// Point 2: an order is sent again after many later ones.
+    /// Point 2: committed orders are sent again after many later ones.
     LateRetry,
-    /// Point 3: a control node is replaced as planned, and another one's disk is lost right after its end.
+    /// Point 3: a control node is replaced as planned, and another one loses its disk right after the shutdown.
     LossAfterReplacement,
-    /// Point 3: the same, and the loss comes at any moment of the replacement.
+    /// Point 3: a control node is replaced as planned, and another one loses its disk at a random moment within 3 s of
+    /// the request to shut down.
     LossDuringReplacement,
-    /// Point 3: all control nodes are restarted one after another while orders go on.
+    /// Point 3: all control nodes are restarted one after another while orders are sent.
     RollingRestart,
-    /// Point 4: a control node that was down for many changes comes back.
+    /// Point 4: a control node is started again after it missed many changes.
     CatchUp,
-    /// Point 5: replicas respond twice, late, without id, as another, in part, or not at all.
+    /// Point 5: replicas send duplicate, misattributed or truncated responses, or none.
     FaultyReplicas,
-    /// Point 6: keys are taken away from connected clients, added, and given to other tenants.
+    /// Point 6: keys of connected clients are revoked, added, and moved to other tenants.
     RevokedKeys,
-    /// Point 7: the control node that reports usage is killed, and the next one is paused.
+    /// Point 7: the control node that reports usage is killed, and its successor is paused.
     UsageReports,
-    /// Point 7: the platform is in trouble of each kind, and the control node that reports usage is killed.
+    /// Point 7: the platform fails in several ways, and the control node that reports usage is killed meanwhile.
     PlatformTrouble,
 }
 
@@ -83,7 +85,7 @@
         Scenario::PlatformTrouble,
     ];
 
-    /// Which of the seven points it shows.
+    /// Returns the point, 1 to 7, that the scenario belongs to.
     pub fn point(self) -> u8 {
         match self {
             Scenario::PausedNode | Scenario::LostQuorum => 1,
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Runs it once on processes of this program. If an invariant did not hold, or the cluster did not start, what all
-    /// processes wrote is shown on standard error.
+    /// Runs the scenario once on processes of this program. If an invariant did not hold, or the cluster did not start,
+    /// prints the output of all processes to standard error.
     ///
     /// # Errors
     /// The cluster could not be started.
@@ -131,8 +133,8 @@
             Scenario::LostQuorum => lost_quorum::run(context),
             Scenario::ConflictingOrders => conflicting_orders::run(context),
             Scenario::LateRetry => late_retry::run(context),
-            Scenario::LossAfterReplacement => replacement::run(context, Loss::AfterEnd),
-            Scenario::LossDuringReplacement => replacement::run(context, Loss::AnyTime),
+            Scenario::LossAfterReplacement => replacement::run(context, Loss::AfterShutdown),
+            Scenario::LossDuringReplacement => replacement::run(context, Loss::DuringShutdown),
             Scenario::RollingRestart => rolling_restart::run(context),
             Scenario::CatchUp => catch_up::run(context),
             Scenario::FaultyReplicas => faulty_replicas::run(context),
--- a/crates/linenthread-demo/src/scenarios/paused_node.rs
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -13,7 +13,7 @@
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{INGRESS, SERVICES, describe, draw_one, start_cluster};
 use crate::client::{
-    CallOutcome, drain_at, is_draining_at, read_anywhere, read_at, replace_anywhere, replace_at,
+    CallOutcome, drain_at, is_draining_at, read_at, read_at_any, replace_at, replace_at_any,
 };
 use crate::error::DemoError;
 use crate::machine::Signal;
@@ -51,7 +51,7 @@
     cluster.signal(&paused, Signal::Stop);
     let resumes_at = Instant::now() + context.scale.pause;
     let second = first.next(&SERVICES);
-    let outcome = replace_anywhere(&others, &second, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&others, &second, RECOVERY_TIMEOUT);
     findings.check(outcome.is(OK), "the others acknowledge an order", || {
         describe(&outcome)
     });
@@ -74,13 +74,13 @@
             check_call(&mut findings, &call, &outcome, &others);
         }
     }
-    let outcome = read_anywhere(&[peer], RECOVERY_TIMEOUT);
+    let outcome = read_at_any(&[peer], RECOVERY_TIMEOUT);
     findings.check(
         outcome.revision() == Some(2),
         "it serves the newest again within the bound",
         || describe(&outcome),
     );
-    let outcome = replace_anywhere(&[peer], &conflict, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&[peer], &conflict, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(PRECONDITION_FAILED),
         "it rejects the other order once it knows",
@@ -135,7 +135,7 @@
 ) {
     match call {
         PendingCall::Read => {
-            let is_newest = !outcome.is_clear() || outcome.is(OK) && outcome.revision() == Some(2);
+            let is_newest = !outcome.is_final() || outcome.is(OK) && outcome.revision() == Some(2);
             findings.check(
                 is_newest,
                 "a read on resuming is the newest or unavailable",
@@ -144,12 +144,12 @@
             findings.add_note(format!("read on resuming: {}", describe(outcome)));
         }
         PendingCall::Retry(order) => findings.check(
-            outcome.is_or_unclear(OK),
+            outcome.is_or_not_final(OK),
             "an acknowledged order is not rejected on resuming",
             || format!("revision {}: {}", order.revision, describe(outcome)),
         ),
         PendingCall::Conflict(order) => findings.check(
-            outcome.is_or_unclear(PRECONDITION_FAILED),
+            outcome.is_or_not_final(PRECONDITION_FAILED),
             "another order of a committed revision is not acknowledged",
             || format!("revision {}: {}", order.revision, describe(outcome)),
         ),
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -1,5 +1,6 @@
-//! Point 3: a control node is replaced as planned: a new one joins with an empty disk, the old one is asked to shut
-//! down. Right after its end, or at any moment before, another one is killed and its disk lost.
+//! Point 3: a control node is replaced as planned: a new one joins with an empty disk, and the old one is asked to shut
+//! down. Right after its exit, or at a random moment within 3 s of the request, another one is killed and loses its
+//! disk.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,71 +16,71 @@
     SERVICES, check_next_order, check_report, check_shutdown, describe, draw_duration, draw_one,
     start_cluster,
 };
-use crate::client::read_anywhere;
+use crate::client::read_at_any;
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 use crate::machine::Signal;
 use crate::order::Order;
 use crate::writer::{Writer, WriterReport};
 
-/// When the other node is lost.
+/// When the other node is killed and loses its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Loss {
-    AfterEnd,
-    AnyTime,
+    AfterShutdown,
+    DuringShutdown,
 }
 
-/// A new node is in contact, or votes, within this time.
+/// The time within which a new node has connected, or votes.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
-/// A loss at any moment comes up to so long after the old node was asked to shut down.
+/// The longest time from the request to shut down to a loss during the shutdown.
 const LOSS_WINDOW: Duration = Duration::from_secs(3);
-/// What control nodes log of a replacement.
+/// The log events of a replacement.
 const REPLACEMENT_EVENTS: [&str; 4] = [
     "event=voter_change_proposed",
     "event=shutdown_complete",
     "event=stopping",
     "event=stopped",
 ];
-/// The time between two orders.
+/// The pause after each acknowledged order.
 const ORDER_INTERVAL: Duration = Duration::from_millis(30);
 
 /// The control nodes of the scenario, by name.
 struct Nodes {
-    /// The one that is replaced.
-    leaving: String,
-    /// The one that takes its place.
-    joined: String,
-    /// The one whose disk is lost.
-    diskless: String,
-    /// The one that stays.
-    staying: String,
+    /// The node that shuts down.
+    replaced: String,
+    /// The new node that takes its place.
+    replacement: String,
+    /// The node that is killed and loses its disk.
+    wiped: String,
+    /// The node that runs all the time.
+    surviving: String,
 }
 
 pub(super) fn run(context: &mut Context<'_>, loss: Loss) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
     let (mut cluster, first) = start_cluster(context)?;
     let keys = KeyWatch::start(&cluster, &first);
-    let (leaving, others) = draw_one(&cluster.control_names(), context.random);
-    let (diskless, others) = draw_one(&others, context.random);
+    let (replaced, others) = draw_one(&cluster.control_names(), context.random);
+    let (wiped, others) = draw_one(&others, context.random);
     let writer = Writer::start(
         cluster.control_addresses(),
         first,
         &SERVICES,
         ORDER_INTERVAL,
     );
-    let joined = cluster.add_control_node()?;
+    let replacement = cluster.add_control_node()?;
     writer.set_addresses(cluster.control_addresses());
     let nodes = Nodes {
-        leaving,
-        joined,
-        diskless,
-        staying: others[0].clone(),
+        replaced,
+        replacement,
+        wiped,
+        surviving: others[0].clone(),
     };
-    let is_ready = is_in_contact(&cluster, &nodes.staying, &nodes.joined);
+    let is_connected = serves_reads(&cluster, &nodes.surviving, &nodes.replacement);
     findings.check(
-        is_ready,
-        "the new node is in contact and serves reads",
-        || nodes.joined.clone(),
+        is_connected,
+        "the new node is connected and serves reads",
+        || nodes.replacement.clone(),
     );
 
     let survivors = replace_and_lose(
@@ -95,13 +96,13 @@
     };
     let next = check_survivors(&mut findings, &mut cluster, &nodes, &report, &survivors);
     check_keys(&mut findings, &cluster, &next);
-    cluster.start_process(&nodes.diskless)?;
-    check_return(&mut findings, &cluster, &nodes, &next);
+    cluster.start_process(&nodes.wiped)?;
+    check_wiped_node(&mut findings, &cluster, &nodes, &next);
     keys.check(&mut findings, &mut cluster);
     Ok(findings)
 }
 
-/// The old node shuts down, and another one is killed and its disk lost; returns the addresses of the others.
+/// Shuts down the replaced node, and kills another one and erases its disk; returns the addresses of the others.
 fn replace_and_lose(
     findings: &mut Findings,
     cluster: &mut Cluster,
@@ -111,24 +112,24 @@
     random: &mut Rand64,
 ) -> Result<Vec<SocketAddr>, DemoError> {
     let Nodes {
-        leaving, diskless, ..
+        replaced, wiped, ..
     } = nodes;
-    cluster.signal(leaving, Signal::Terminate);
+    cluster.signal(replaced, Signal::Terminate);
     match loss {
-        Loss::AfterEnd => check_shutdown(findings, cluster, leaving),
-        Loss::AnyTime => std::thread::sleep(draw_duration(LOSS_WINDOW, random)),
+        Loss::AfterShutdown => check_shutdown(findings, cluster, replaced),
+        Loss::DuringShutdown => std::thread::sleep(draw_duration(LOSS_WINDOW, random)),
     }
-    cluster.kill(diskless);
-    cluster.erase_disk(diskless)?;
-    let survivors = cluster.control_addresses_except(&[leaving, diskless]);
+    cluster.kill(wiped);
+    cluster.erase_disk(wiped)?;
+    let survivors = cluster.control_addresses_except(&[replaced, wiped]);
     writer.set_addresses(survivors.clone());
-    if loss == Loss::AnyTime {
-        check_shutdown(findings, cluster, leaving);
+    if loss == Loss::DuringShutdown {
+        check_shutdown(findings, cluster, replaced);
     }
     Ok(survivors)
 }
 
-/// Orders go on with the new node and the one that stays; returns the newest order.
+/// Checks that the two running nodes commit orders and that the new one votes; returns the newest order.
 fn check_survivors(
     findings: &mut Findings,
     cluster: &mut Cluster,
@@ -138,17 +139,15 @@
 ) -> Order {
     check_report(findings, report, survivors);
     let next = check_next_order(findings, report, survivors);
-    let votes = wait_for_vote(cluster, &nodes.staying, &nodes.joined, true);
-    findings.check(
-        votes,
-        "the new node votes in the place of one that is gone",
-        || nodes.joined.clone(),
-    );
+    let votes = wait_for_vote(cluster, &nodes.surviving, &nodes.replacement, true);
+    findings.check(votes, "the new node votes in place of a lost one", || {
+        nodes.replacement.clone()
+    });
     findings.add_note(format!(
-        "{} was replaced by {}, {} was lost",
-        nodes.leaving, nodes.joined, nodes.diskless
+        "{} was replaced by {}, {} lost its disk",
+        nodes.replaced, nodes.replacement, nodes.wiped
     ));
-    for name in [&nodes.leaving, &nodes.joined, &nodes.staying] {
+    for name in [&nodes.replaced, &nodes.replacement, &nodes.surviving] {
         for line in cluster.lines_with_any(name, &REPLACEMENT_EVENTS) {
             findings.add_note(format!("{name}: {line}"));
         }
@@ -156,31 +155,32 @@
     next
 }
 
-/// The node that lost its disk is back.
-fn check_return(findings: &mut Findings, cluster: &Cluster, nodes: &Nodes, newest: &Order) {
-    let votes = wait_for_vote(cluster, &nodes.staying, &nodes.diskless, true);
+/// Checks that the node that lost its disk votes again and serves the newest configuration, and that the replaced node
+/// does not vote any more.
+fn check_wiped_node(findings: &mut Findings, cluster: &Cluster, nodes: &Nodes, newest: &Order) {
+    let votes = wait_for_vote(cluster, &nodes.surviving, &nodes.wiped, true);
     findings.check(votes, "the node that lost its disk votes again", || {
-        nodes.diskless.clone()
+        nodes.wiped.clone()
     });
-    // With two machines gone and one successor one of them stays in the set, until there is another successor.
-    let is_removed = wait_for_vote(cluster, &nodes.staying, &nodes.leaving, false);
-    findings.check(is_removed, "the old node does not vote any more", || {
-        nodes.leaving.clone()
-    });
-    let back: Vec<SocketAddr> = cluster
-        .control_address(&nodes.diskless)
-        .into_iter()
-        .collect();
-    let outcome = read_anywhere(&back, RECOVERY_TIMEOUT);
+    // Only one node could take the place of the two lost ones until now, so one of them may have remained a voter.
+    let is_removed = wait_for_vote(cluster, &nodes.surviving, &nodes.replaced, false);
+    findings.check(
+        is_removed,
+        "the replaced node does not vote any more",
+        || nodes.replaced.clone(),
+    );
+    let addresses: Vec<SocketAddr> = cluster.control_address(&nodes.wiped).into_iter().collect();
+    let outcome = read_at_any(&addresses, RECOVERY_TIMEOUT);
     findings.check(
         outcome.body == newest.document,
-        "the node that lost its disk reads the newest",
+        "the node that lost its disk serves the newest configuration",
         || describe(&outcome),
     );
 }
 
-/// Whether a new node has a session with another one, has a quorum, and responds to a read, in time.
-fn is_in_contact(cluster: &Cluster, observer: &str, name: &str) -> bool {
+/// Waits until `observer` lists a new node as a member and the new node has a quorum and responds to a read; returns
+/// false after the time-out.
+fn serves_reads(cluster: &Cluster, observer: &str, name: &str) -> bool {
     let Some(peer) = cluster.control_address(name) else {
         return false;
     };
@@ -193,11 +193,11 @@
     });
     is_known
         && cluster.wait_for_members(name, JOIN_TIMEOUT, |members| members.quorum)
-        && read_anywhere(&[peer], RECOVERY_TIMEOUT).is(OK)
+        && read_at_any(&[peer], RECOVERY_TIMEOUT).is(OK)
 }
 
-/// Waits until a node's address is among the voters, or is not, as another node knows them; false when the time is
-/// over.
+/// Waits until the voters that `observer` reports contain a node's address, or don't if `votes` is false; returns false
+/// after the time-out.
 fn wait_for_vote(cluster: &Cluster, observer: &str, name: &str, votes: bool) -> bool {
     let Some(address) = cluster.control_address(name) else {
         return false;
--- a/crates/linenthread-demo/src/scenarios/revoked_keys.rs
+++ b/crates/linenthread-demo/src/scenarios/revoked_keys.rs
@@ -12,7 +12,7 @@
 use super::findings::Findings;
 use super::scale::{APPLY_TIMEOUT, RECOVERY_TIMEOUT};
 use super::setup::{SERVICES, UNAUTHORIZED, configure_with, describe};
-use crate::client::{CallOutcome, TenantClient, read_anywhere, replace_anywhere};
+use crate::client::{CallOutcome, TenantClient, read_at_any, replace_at_any};
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 use crate::order::{Order, Tenant};
@@ -181,7 +181,7 @@
         );
     }
     let order = Order::for_tenants(1, 2, &SERVICES, &tenants_after());
-    let outcome = replace_anywhere(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
     findings.check(outcome.is(OK), "the change is acknowledged", || {
         describe(&outcome)
     });
@@ -289,7 +289,7 @@
         Tenant::new("right", &[ADDED_KEY, STEADY_KEY]),
     ];
     let order = Order::for_tenants(2, 3, &SERVICES, &tenants);
-    let outcome = replace_anywhere(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(BAD_REQUEST),
         "an order in which two tenants share a key is invalid",
@@ -298,7 +298,7 @@
     findings.check(!names_a_key(&outcome), "a rejection names no key", || {
         describe(&outcome)
     });
-    let read = read_anywhere(&cluster.control_addresses(), RECOVERY_TIMEOUT);
+    let read = read_at_any(&cluster.control_addresses(), RECOVERY_TIMEOUT);
     let acknowledged = Order::for_tenants(1, 2, &SERVICES, &tenants_after());
     findings.check(
         read.body == acknowledged.document,
--- a/crates/linenthread-demo/src/scenarios/scale.rs
+++ b/crates/linenthread-demo/src/scenarios/scale.rs
@@ -1,31 +1,31 @@
-//! How long scenarios take.
+//! Durations and sizes of the scenarios.
 
 use std::time::Duration;
 
-/// An order, a read or an update of an ingress node takes at most this long after any single loss.
+/// The time within which an order, a read or an update of an ingress node succeeds after any single loss.
 pub(super) const RECOVERY_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// So long after its acknowledgement each ingress node in contact goes by a configuration
+/// The time after the acknowledgement of a configuration within which each connected ingress node applies it
 /// (`limits_table.apply_ms` of the deployments).
 pub(super) const APPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long or how often things go on.
+/// The length of the scenarios.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scale {
-    /// A process stays paused for so long.
+    /// How long processes stay paused.
     pub pause: Duration,
-    /// Pairs of orders of one revision.
+    /// The number of pairs of conflicting orders.
     pub conflicts: u64,
-    /// Orders between an order and its retry.
+    /// The number of orders that are committed before earlier ones are sent again.
     pub later_orders: u64,
-    /// Changes that a control node misses.
+    /// The number of changes that a control node misses while it is down.
     pub changes: u64,
-    /// Requests to replicas that respond wrongly.
+    /// The number of client requests while replicas respond with faults.
     pub requests: usize,
 }
 
 impl Scale {
-    /// For the tests: some seconds a scenario.
+    /// For tests: each scenario takes some seconds.
     pub const BRIEF: Scale = Scale {
         pause: Duration::from_secs(6),
         conflicts: 5,
--- a/crates/linenthread-demo/src/scenarios/setup.rs
+++ b/crates/linenthread-demo/src/scenarios/setup.rs
@@ -1,4 +1,4 @@
-//! What all scenarios start with and end with.
+//! Set-up of clusters, random draws and checks that several scenarios share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use super::context::Context;
 use super::findings::Findings;
 use super::scale::RECOVERY_TIMEOUT;
-use crate::client::{CallOutcome, read_anywhere, replace_anywhere};
+use crate::client::{CallOutcome, read_at_any, replace_at_any};
 use crate::cluster::Cluster;
 use crate::error::{DemoError, NotReadySnafu};
 use crate::order::Order;
 use crate::writer::WriterReport;
 
-/// The services that replicas serve.
 pub(super) const SERVICES: [&str; 2] = ["s1", "s2"];
-/// The only ingress node of a cluster.
+/// The ingress node of clusters that have only one.
 pub(super) const INGRESS: &str = "ingress-1";
-/// Processes are up and in contact within this time.
+/// The time within which processes have started and connected.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// A control node has exited within its grace period (`limits_table.grace_s`) and a second.
+/// The time within which a control node exits: its grace period (`limits_table.grace_s`) and a second.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(7);
-/// Replicas of a service.
+/// The number of replicas of each service.
 const REPLICAS: usize = 2;
-/// The status of a response to a key that no tenant has.
+/// The status of the response to a query with a key that no tenant has.
 pub(super) const UNAUTHORIZED: u16 = 401;
-/// What is shown of a response's body.
+/// The number of characters of a response's body that [`describe`] prints.
 const SHOWN_BODY_CHARS: usize = 60;
 
-/// A cluster of three control nodes and an ingress node that goes by the first order, and that order.
+/// Starts a cluster of three control nodes, an ingress node and replicas, and sends the first order; returns the
+/// cluster and the order once the ingress node has applied it.
 pub(super) fn start_cluster(context: &Context<'_>) -> Result<(Cluster, Order), DemoError> {
     let mut cluster = context.new_cluster()?;
     cluster.start(3, 1)?;
@@ -41,28 +41,29 @@
     Ok((cluster, first))
 }
 
-/// Sends the first order and waits until every ingress node goes by it and knows so many replicas.
+/// Sends the first order, and waits until all ingress nodes have applied it and know this many replicas.
 pub(super) fn configure(cluster: &mut Cluster, replicas: usize) -> Result<Order, DemoError> {
     let first = Order::new(0, 1, &SERVICES, 0);
     configure_with(cluster, &first, replicas)?;
     Ok(first)
 }
 
-/// The same with an order of one's own, of revision 1.
+/// Does the same as [`configure`] with a given order, which must be of revision 1.
 pub(super) fn configure_with(
     cluster: &mut Cluster,
     first: &Order,
     replicas: usize,
 ) -> Result<(), DemoError> {
     for name in cluster.control_names() {
-        let listens = cluster.wait_for_line(&name, &["event=control_listening"], START_TIMEOUT);
-        let is_ready =
-            listens && cluster.wait_for_members(&name, START_TIMEOUT, |members| members.quorum);
-        ensure_ready(is_ready, || format!("{name} is not in contact"))?;
+        let is_listening =
+            cluster.wait_for_line(&name, &["event=control_listening"], START_TIMEOUT);
+        let is_ready = is_listening
+            && cluster.wait_for_members(&name, START_TIMEOUT, |members| members.quorum);
+        ensure_ready(is_ready, || format!("{name} has no quorum"))?;
     }
-    let outcome = replace_anywhere(&cluster.control_addresses(), first, START_TIMEOUT);
+    let outcome = replace_at_any(&cluster.control_addresses(), first, START_TIMEOUT);
     ensure_ready(outcome.is(OK), || {
-        "the first order is not acknowledged".to_owned()
+        "the first order was not acknowledged".to_owned()
     })?;
     let present = format!("present={replicas}");
     for name in cluster.ingress_names() {
@@ -70,7 +71,9 @@
         let updated = ["event=replicas_updated", &present];
         let is_ready = cluster.wait_for_line(&name, &applied, START_TIMEOUT)
             && cluster.wait_for_line(&name, &updated, START_TIMEOUT);
-        ensure_ready(is_ready, || format!("{name} is not ready"))?;
+        ensure_ready(is_ready, || {
+            format!("{name} has not applied the configuration or lacks replicas")
+        })?;
     }
     Ok(())
 }
@@ -83,26 +86,26 @@
     }
 }
 
-/// One of these names, and the others.
+/// Returns a random one of these names, and the others.
 pub(super) fn draw_one(names: &[String], random: &mut Rand64) -> (String, Vec<String>) {
     let mut others = names.to_vec();
     let one = others.remove(draw_index(0, names.len(), random));
     (one, others)
 }
 
-/// An index from `start` on, below `end`.
+/// Returns a random index, at least `start` and below `end`.
 pub(super) fn draw_index(start: usize, end: usize, random: &mut Rand64) -> usize {
     let bound = |index| u64::try_from(index).unwrap_or(u64::MAX);
     let drawn = random.rand_range(bound(start)..bound(end));
     usize::try_from(drawn).unwrap_or(start)
 }
 
-/// A duration shorter than this one.
+/// Returns a random duration below `max`.
 pub(super) fn draw_duration(max: Duration, random: &mut Rand64) -> Duration {
     max.mul_f64(random.rand_float())
 }
 
-/// What a caller saw, as text.
+/// Formats the outcome of a call for violations and notes.
 pub(super) fn describe(outcome: &CallOutcome) -> String {
     let body = String::from_utf8_lossy(&outcome.body);
     let body: String = body.chars().take(SHOWN_BODY_CHARS).collect();
@@ -113,7 +116,8 @@
     )
 }
 
-/// An operator that is alone is never rejected, and everything acknowledged reads back at these addresses.
+/// Checks that the single operator had no order rejected and no long gap between acknowledgements, and that the newest
+/// acknowledged order, or the pending one after it, reads back at these addresses.
 pub(super) fn check_report(
     findings: &mut Findings,
     report: &WriterReport,
@@ -121,23 +125,26 @@
 ) {
     findings.check(
         report.rejected.is_none(),
-        "an operator alone is not rejected",
+        "the orders of a single operator are not rejected",
         || {
             report.rejected.map_or(String::new(), |rejected| {
-                format!("revision {} by {}", rejected.revision, rejected.status)
+                format!(
+                    "revision {} with status {}",
+                    rejected.revision, rejected.status
+                )
             })
         },
     );
     let longest_ms = report.longest_gap.as_millis();
     findings.check(
         report.longest_gap <= RECOVERY_TIMEOUT,
-        "orders go on within the bound",
+        "the time between acknowledgements stays within the bound",
         || format!("{longest_ms} ms without an acknowledgement"),
     );
-    let read = read_anywhere(addresses, RECOVERY_TIMEOUT);
+    let read = read_at_any(addresses, RECOVERY_TIMEOUT);
     let is_read = |order: &Order| read.is(OK) && read.body == order.document;
     let reads_back = is_read(&report.last) || report.pending.as_ref().is_some_and(is_read);
-    findings.check(reads_back, "everything acknowledged reads back", || {
+    findings.check(reads_back, "acknowledged orders read back", || {
         format!(
             "{} after revision {}",
             describe(&read),
@@ -145,12 +152,13 @@
         )
     });
     findings.add_note(format!(
-        "{} orders acknowledged, {longest_ms} ms between two at most",
+        "{} orders acknowledged, at most {longest_ms} ms between two",
         report.acknowledged
     ));
 }
 
-/// A new order on top of all is acknowledged within the bound at one of these addresses.
+/// Sends the pending order again, if any, and then a new one; checks that both are acknowledged within the bound at one
+/// of these addresses. Returns the new order.
 pub(super) fn check_next_order(
     findings: &mut Findings,
     report: &WriterReport,
@@ -158,16 +166,16 @@
 ) -> Order {
     let mut last = report.last.clone();
     if let Some(pending) = &report.pending {
-        let outcome = replace_anywhere(addresses, pending, RECOVERY_TIMEOUT);
+        let outcome = replace_at_any(addresses, pending, RECOVERY_TIMEOUT);
         findings.check(
             outcome.is(OK),
-            "an order without a clear response is committed when sent again",
+            "an order without a final response is committed when sent again",
             || describe(&outcome),
         );
         last = pending.clone();
     }
     let next = last.next(&SERVICES);
-    let outcome = replace_anywhere(addresses, &next, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(addresses, &next, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(OK),
         "a new order is acknowledged within the bound",
@@ -177,7 +185,8 @@
     next
 }
 
-/// Kills all control nodes at once and starts them again; returns when they are in contact.
+/// Kills all control nodes and starts them again; waits until each listens and has a quorum, but at most for
+/// [`RECOVERY_TIMEOUT`] each time.
 pub(super) fn restart_all(cluster: &mut Cluster) -> Result<(), DemoError> {
     let names = cluster.control_names();
     for name in &names {
@@ -193,12 +202,12 @@
     Ok(())
 }
 
-/// A control node that was asked to shut down exits with success within its grace period.
+/// Checks that a control node that was asked to shut down exits with success within its grace period.
 pub(super) fn check_shutdown(findings: &mut Findings, cluster: &mut Cluster, name: &str) {
     let exited = cluster.wait_for_exit(name, SHUTDOWN_TIMEOUT);
     findings.check(
         exited.is_some_and(|status| status.success()),
-        "a node that is asked to shut down exits with success in its grace period",
+        "a node that is asked to shut down exits with success within its grace period",
         || format!("{name}: {exited:?}"),
     );
 }
--- a/crates/linenthread-demo/src/show.rs
+++ b/crates/linenthread-demo/src/show.rs
@@ -1,5 +1,5 @@
-//! The system step by step: a merged response; a replica that crashes, a control node that loses its disk, an ingress
-//! node that is killed.
+//! The `show` command: a merged response, then the same with a crashed replica, a control node that lost its disk and a
+//! killed ingress node.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,15 +12,13 @@
     CommandError, ConfigureSnafu, IncompleteSnafu, NotLoggedSnafu, RejectedSnafu,
 };
 
-/// How long an event may take.
+/// The time within which an awaited event is logged.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// The services that replicas serve.
 const SERVICES: [&str; 3] = ["s1", "s2", "s3"];
-/// Replicas of a service.
+/// The number of replicas of each service.
 const REPLICAS: usize = 2;
-/// How often a query is sent until the response is complete.
+/// How often a query is sent at most until a response is complete.
 const MAX_QUERIES: usize = 500;
-/// Bytes of a record.
 const RECORD_BYTES: usize = 16;
 
 pub(crate) fn run(program: &Path) -> Result<(), CommandError> {
@@ -38,7 +36,7 @@
         .map(ToString::to_string)
         .collect();
     print_line(format_args!(
-        "done; the status of such a system: linenthread-ctl --control {} status",
+        "done; for the status of such a system run: linenthread-ctl --control {} status",
         control.join(",")
     ))?;
     Ok(())
@@ -68,14 +66,14 @@
             self.wait_for(&name, "event=replicas_updated", &["present=6"])?;
         }
         print_line(format_args!(
-            "a query of all shards: the five greatest records of their sub-responses"
+            "a query to all shards returns the five greatest records of their sub-responses"
         ))?;
         self.query("ingress-1", "first")
     }
 
     fn crash_replica(&mut self) -> Result<(), CommandError> {
         print_line(format_args!(
-            "a replica crashes; the next response is complete all the same"
+            "a replica crashes; the next response is still complete"
         ))?;
         self.cluster.replicas[0].crash();
         self.query("ingress-1", "second")
@@ -83,13 +81,13 @@
 
     fn lose_disk(&mut self) -> Result<(), CommandError> {
         print_line(format_args!(
-            "control-1 is killed and loses its disk; a configuration is acknowledged by the others"
+            "control-1 is killed and loses its disk; the others acknowledge a configuration"
         ))?;
         self.cluster.kill("control-1");
         self.cluster.erase_disk("control-1")?;
         self.configure(1, 4)?;
         print_line(format_args!(
-            "it comes back empty and votes under a new id, and another node may be lost"
+            "control-1 is started with an empty disk and votes under a new id; then control-2 is killed"
         ))?;
         self.cluster.start_process("control-1")?;
         self.wait_for(
@@ -103,14 +101,14 @@
 
     fn kill_ingress(&mut self) -> Result<(), CommandError> {
         print_line(format_args!(
-            "ingress-1 is killed; ingress-2 goes by the newest configuration and takes its queries"
+            "ingress-1 is killed; ingress-2 applies the newest configuration and serves the queries"
         ))?;
         self.cluster.kill("ingress-1");
         self.wait_for("ingress-2", "event=configuration_applied", &["revision=6"])?;
         self.query("ingress-2", "third")
     }
 
-    /// Waits for a log event with these fields.
+    /// Waits until a machine logs an event with these fields.
     fn wait_for(
         &mut self,
         machine: &str,
@@ -132,7 +130,7 @@
         Ok(())
     }
 
-    /// Sends a query until the response is complete, a bounded number of times, and prints it.
+    /// Sends a query until its response is complete, at most [`MAX_QUERIES`] times, and prints the response.
     fn query(&self, machine: &str, name: &str) -> Result<(), CommandError> {
         for number in 0..MAX_QUERIES {
             let attempt = format!("{name}-{number}");
@@ -145,7 +143,7 @@
             }
             let seals = response.head.header("x-part-seals").unwrap_or_default();
             print_line(format_args!(
-                "    {machine} responds {} with parts {seals}",
+                "    {machine} responds with status {} and parts {seals}",
                 response.status
             ))?;
             for record in response.body.chunks(RECORD_BYTES) {
--- a/crates/linenthread-demo/src/transcript.rs
+++ b/crates/linenthread-demo/src/transcript.rs
@@ -1,19 +1,19 @@
-//! Everything that the processes of a scenario wrote, to be shown when an invariant did not hold.
+//! The output of all processes of a scenario, printed if an invariant did not hold.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// So many lines are kept, the newest ones: several times what a brief scenario writes.
+/// The number of lines that are kept: several times the output of a brief scenario.
 const MAX_LINES: usize = 10_000;
 
-/// The newest lines of all processes, in the order in which they were received. All clones are the same transcript.
+/// The newest lines of all processes, in the order in which they were received. Clones share the lines.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Transcript {
     lines: Arc<Mutex<VecDeque<String>>>,
 }
 
 impl Transcript {
-    /// Adds a line that the process of a machine wrote.
+    /// Adds a line that the process of a machine wrote; drops the oldest line if there are too many.
     pub(crate) fn add(&self, machine: &str, text: &str) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() == MAX_LINES {
@@ -22,10 +22,10 @@
         lines.push_back(format!("{machine}: {text}"));
     }
 
-    /// Writes all lines to standard error.
+    /// Prints all lines to standard error.
     pub(crate) fn show(&self) {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        eprintln!("what the processes wrote:");
+        eprintln!("output of the processes:");
         for line in lines.iter() {
             eprintln!("{line}");
         }
--- a/crates/linenthread-demo/src/writer.rs
+++ b/crates/linenthread-demo/src/writer.rs
@@ -1,4 +1,4 @@
-//! An operator that sends one order after another until it is stopped.
+//! An operator that sends one order after another until it is stopped, for the scenarios.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,46 +6,46 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use crate::client::{CALL_TIMEOUT, replace_anywhere};
+use crate::client::{CALL_TIMEOUT, replace_at_any};
 use crate::order::Order;
 
-/// A running operator, who sends each order until it has a clear response.
+/// A running operator, which sends each order until it has a final response.
 pub(crate) struct Writer {
     shared: Arc<Shared>,
     thread: JoinHandle<WriterReport>,
 }
 
-/// What the operator's thread shares with its handle.
+/// State shared by the operator's thread and its handle.
 struct Shared {
-    /// The control nodes that the operator knows.
+    /// The control nodes to which orders are sent.
     addresses: Mutex<Vec<SocketAddr>>,
     is_stopped: AtomicBool,
 }
 
-/// An order that was rejected though no other operator sends any.
+/// An order that was rejected although no other operator sends orders.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RejectedOrder {
     pub(crate) revision: u64,
     pub(crate) status: u16,
 }
 
-/// What became of an operator's orders.
+/// The outcome of an operator's orders.
 #[derive(Clone, Debug)]
 pub(crate) struct WriterReport {
-    /// The newest order that was acknowledged.
+    /// The newest acknowledged order.
     pub(crate) last: Order,
-    /// The one after it, if it was sent and has no clear response.
+    /// The order after the newest acknowledged one, if it was sent and has no final response.
     pub(crate) pending: Option<Order>,
-    /// How many were acknowledged.
+    /// The number of acknowledged orders.
     pub(crate) acknowledged: usize,
-    /// An order that was rejected; none was sent after it.
+    /// The order that was rejected, if any; the operator sends no order after it.
     pub(crate) rejected: Option<RejectedOrder>,
-    /// The longest time between two acknowledgements.
+    /// The longest time from an acknowledgement, or from the start, to the end of a later call.
     pub(crate) longest_gap: Duration,
 }
 
 impl Writer {
-    /// Starts with the order after one that was acknowledged, and waits for an interval after each acknowledgement.
+    /// Starts sending orders on top of `acknowledged`, with a pause of `interval` after each acknowledgement.
     pub(crate) fn start(
         addresses: Vec<SocketAddr>,
         acknowledged: Order,
@@ -61,14 +61,14 @@
         Writer { shared, thread }
     }
 
-    /// Replaces the control nodes that the operator knows.
+    /// Replaces the control nodes to which orders are sent.
     pub(crate) fn set_addresses(&self, addresses: Vec<SocketAddr>) {
         if let Ok(mut known) = self.shared.addresses.lock() {
             *known = addresses;
         }
     }
 
-    /// Sends no more and waits for the end of the last call.
+    /// Stops sending orders and waits for the end of the last call; returns `None` if the thread panicked.
     pub(crate) fn stop(self) -> Option<WriterReport> {
         self.shared.is_stopped.store(true, Ordering::Relaxed);
         self.thread.join().ok()
@@ -96,7 +96,7 @@
         };
         let known = shared.addresses.lock();
         let addresses = known.map(|addresses| addresses.clone()).unwrap_or_default();
-        let outcome = replace_anywhere(&addresses, &order, CALL_TIMEOUT);
+        let outcome = replace_at_any(&addresses, &order, CALL_TIMEOUT);
         report.longest_gap = report.longest_gap.max(acknowledged_at.elapsed());
         match outcome.status {
             Some(200) => {
@@ -105,7 +105,7 @@
                 acknowledged_at = Instant::now();
                 std::thread::sleep(interval);
             }
-            Some(status) if outcome.is_clear() => {
+            Some(status) if outcome.is_final() => {
                 let revision = order.revision;
                 report.rejected = Some(RejectedOrder { revision, status });
                 return report;
--- a/crates/linenthread-demo/tests/closed_output.rs
+++ b/crates/linenthread-demo/tests/closed_output.rs
@@ -1,4 +1,4 @@
-//! A closed output pipe ends the program quietly.
+//! Guards against a panic when the reader of the program's output has gone: the help is printed to a closed pipe.
 
 use std::process::Command;
 
--- a/crates/linenthread-demo/tests/records.rs
+++ b/crates/linenthread-demo/tests/records.rs
@@ -1,4 +1,4 @@
-//! The records of stub replicas stay as they are: scenarios compare responses with them to the byte.
+//! Guards against a change of the stub replicas' records: scenarios compute them again and compare responses byte by byte.
 
 use linenthread_demo::records;
 
