--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -78,7 +78,8 @@
         })
     }
 
-    /// Appends these lines to the settings files of all machines that are added from now on.
+    /// Appends these lines to the settings files of all machines that are added from now on, in place of the lines of an
+    /// earlier call.
     pub fn set_further_settings(&mut self, lines: &str) {
         lines.clone_into(&mut self.further_settings);
     }
--- a/crates/linenthread-demo/src/scenarios/catch_up.rs
+++ b/crates/linenthread-demo/src/scenarios/catch_up.rs
@@ -1,5 +1,5 @@
-//! Point 4: a control node that was down for many changes comes back: it catches up soon, reads are never old, its
-//! disk stays small, and with it and one other the system goes on.
+//! Point 4: a control node is started again after it missed many changes: it catches up within the bound, never serves
+//! an old configuration, and keeps its disk small. Then another node is killed, and the remaining two commit orders.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -17,47 +17,49 @@
 use crate::error::DemoError;
 use crate::order::Order;
 
-/// It serves the newest configuration within this time of its start.
+/// The time after its start within which the restarted node serves the newest configuration.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(5);
-/// A disk's log is compacted when it is longer than 16 MiB; twice that is there for a moment.
+/// A log is compacted when it is longer than 16 MiB; up to twice that is on the disk during the compaction.
 const MAX_DISK_BYTES: u64 = 33 << 20;
-/// A node that was down stores the newest state in one piece, not the changes that it missed.
-const MAX_DISK_BYTES_OF_ABSENT: u64 = 1 << 20;
-/// Between two reads while it catches up.
+/// A node that was down stores the newest state as a whole, without the changes that it missed.
+const MAX_LAGGING_DISK_BYTES: u64 = 1 << 20;
+/// The pause between two reads while the node catches up.
 const READ_INTERVAL: Duration = Duration::from_millis(10);
 
 pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
     let (mut cluster, first) = start_cluster(context)?;
-    let (absent, others) = draw_one(&cluster.control_names(), context.random);
-    cluster.kill(&absent);
+    let (lagging, others) = draw_one(&cluster.control_names(), context.random);
+    cluster.kill(&lagging);
     let keys = KeyWatch::start(&cluster, &first);
-    let running = cluster.control_addresses_except(&[&absent]);
+    let running = cluster.control_addresses_except(&[&lagging]);
     let Some(last) = send_changes(&mut findings, &running, first, context.scale.changes) else {
         return Ok(findings);
     };
     check_keys(&mut findings, &cluster, &last);
     let largest = check_disks(&mut findings, &cluster, &others);
 
-    cluster.start_process(&absent)?;
-    let Some(peer) = cluster.control_address(&absent) else {
+    cluster.start_process(&lagging)?;
+    let Some(peer) = cluster.control_address(&lagging) else {
         return Ok(findings);
     };
     let elapsed = check_first_read(&mut findings, peer, &last);
-    let holds = cluster.wait_for_members(&absent, CATCH_UP_TIMEOUT, |members| {
+    let is_current = cluster.wait_for_members(&lagging, CATCH_UP_TIMEOUT, |members| {
         members.revision == last.revision
     });
-    findings.check(holds, "it has the newest revision within the bound", || {
-        absent.clone()
-    });
-    let bytes = cluster.disk_bytes(&absent);
     findings.check(
-        bytes <= MAX_DISK_BYTES_OF_ABSENT,
-        "its disk holds no missed changes",
+        is_current,
+        "the restarted node has the newest revision within the bound",
+        || lagging.clone(),
+    );
+    let bytes = cluster.disk_bytes(&lagging);
+    findings.check(
+        bytes <= MAX_LAGGING_DISK_BYTES,
+        "the disk of the restarted node does not contain the missed changes",
         || format!("{bytes} bytes"),
     );
     findings.add_note(format!(
-        "caught up after {elapsed:?}; disks: {bytes} bytes, the others {largest} at most"
+        "caught up after {elapsed:?}; its disk: {bytes} bytes, the others: at most {largest} bytes"
     ));
 
     let (killed, _) = draw_one(&others, context.random);
@@ -68,7 +70,7 @@
     Ok(findings)
 }
 
-/// Sends so many changes, one after another; returns the last one, if all are acknowledged.
+/// Sends this many changes, one after another; returns the last one, or `None` if one was not acknowledged.
 fn send_changes(
     findings: &mut Findings,
     running: &[SocketAddr],
@@ -92,7 +94,7 @@
     Some(last)
 }
 
-/// The disks of these nodes are bounded; returns the bytes of the largest.
+/// Checks that the disks of these nodes are bounded; returns the size of the largest in bytes.
 fn check_disks(findings: &mut Findings, cluster: &Cluster, names: &[String]) -> u64 {
     let bytes = names.iter().map(|name| cluster.disk_bytes(name));
     let largest = bytes.max().unwrap_or_default();
@@ -104,16 +106,19 @@
     largest
 }
 
-/// The first clear read of a node that has just started is the newest; returns how long it took.
+/// Checks that the first final response to a read at a node that has just started is the newest configuration and comes
+/// within the bound; returns the time it took.
 fn check_first_read(findings: &mut Findings, peer: SocketAddr, last: &Order) -> Duration {
     let started_at = Instant::now();
     loop {
         let outcome = read_at(peer, CATCH_UP_TIMEOUT);
         if outcome.is_final() {
             let is_newest = outcome.is(OK) && outcome.body == last.document;
-            findings.check(is_newest, "its first read is the newest", || {
-                describe(&outcome)
-            });
+            findings.check(
+                is_newest,
+                "the first read at the restarted node returns the newest configuration",
+                || describe(&outcome),
+            );
             break;
         }
         if started_at.elapsed() > CATCH_UP_TIMEOUT {
@@ -124,13 +129,14 @@
     let elapsed = started_at.elapsed();
     findings.check(
         elapsed <= CATCH_UP_TIMEOUT,
-        "it catches up within the bound",
+        "the restarted node catches up within the bound",
         || format!("{elapsed:?}"),
     );
     elapsed
 }
 
-/// With one node of the old majority lost, the others, of which one was down before, go on.
+/// Checks that the remaining nodes, of which one missed the changes, serve the newest configuration, don't reject missed
+/// orders, and commit a new one.
 fn check_survivors(
     findings: &mut Findings,
     survivors: &[SocketAddr],
@@ -142,7 +148,7 @@
         let outcome = read_at_any(&[*survivor], RECOVERY_TIMEOUT);
         findings.check(
             outcome.body == last.document,
-            "reads are the newest with one of the old majority",
+            "reads return the newest configuration with one node of the old majority left",
             || describe(&outcome),
         );
     }
@@ -150,7 +156,7 @@
         let outcome = replace_at(peer, &missed, RECOVERY_TIMEOUT);
         findings.check(
             outcome.is_or_not_final(OK),
-            "an order that it missed is not rejected when sent again",
+            "a missed order is not rejected when sent again to the restarted node",
             || format!("revision {}: {}", missed.revision, describe(&outcome)),
         );
     }
@@ -162,7 +168,7 @@
     );
 }
 
-/// Some of the orders up to the last one.
+/// Returns three of the orders up to the last one: the first missed one, a random one and the last one.
 fn missed_orders(last: &Order, random: &mut Rand64) -> [Order; 3] {
     let drawn = random.rand_range(2..last.revision);
     [2, drawn, last.revision].map(|revision| Order::new(revision - 1, revision, &SERVICES, 0))
--- a/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
+++ b/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
@@ -1,5 +1,5 @@
-//! Point 2: two operators send different orders of one revision at once; one is committed, the other rejected, by
-//! every node, also after a restart of all.
+//! Point 2: two operators send different orders of one revision at the same time. One must be committed and the other
+//! rejected, by every control node, also after a restart of all control nodes.
 
 use std::net::SocketAddr;
 use std::sync::Barrier;
@@ -18,10 +18,10 @@
 use crate::error::DemoError;
 use crate::order::Order;
 
-/// The second operator sends at most so much later than the first.
+/// Each operator waits for a random time below this before its first call.
 const MAX_DELAY: Duration = Duration::from_millis(20);
 
-/// Two orders of one revision: the one that was committed, and the other.
+/// Two orders of one revision, of which one was committed.
 struct Conflict {
     committed: Order,
     rejected: Order,
@@ -52,14 +52,15 @@
     Ok(findings)
 }
 
-/// Both operators send at once: one order is committed.
+/// Sends both orders at the same time, and checks that one is committed and the other rejected; returns `None` unless
+/// exactly one is committed.
 fn send_both(
     findings: &mut Findings,
     cluster: &Cluster,
     orders: [Order; 2],
     random: &mut Rand64,
 ) -> Option<Conflict> {
-    let outcomes = race(&cluster.control_addresses(), &orders, random);
+    let outcomes = send_concurrently(&cluster.control_addresses(), &orders, random);
     let committed = outcomes.iter().filter(|outcome| outcome.is(OK)).count();
     let rejected = outcomes
         .iter()
@@ -85,9 +86,13 @@
     })
 }
 
-/// Each operator starts at a node of its own and goes on until the response is clear.
-fn race(addresses: &[SocketAddr], orders: &[Order; 2], random: &mut Rand64) -> [CallOutcome; 2] {
-    let together = Barrier::new(orders.len());
+/// Sends each order from its own thread, first to a different node, until the response is final.
+fn send_concurrently(
+    addresses: &[SocketAddr],
+    orders: &[Order; 2],
+    random: &mut Rand64,
+) -> [CallOutcome; 2] {
+    let barrier = Barrier::new(orders.len());
     let start = draw_index(0, addresses.len(), random);
     let delays = [
         draw_duration(MAX_DELAY, random),
@@ -95,20 +100,20 @@
     ];
     std::thread::scope(|scope| {
         let send = |index: usize| {
-            let mut own = addresses.to_vec();
-            own.rotate_left((start + index) % addresses.len());
-            let (together, order, delay) = (&together, &orders[index], delays[index]);
+            let mut rotated = addresses.to_vec();
+            rotated.rotate_left((start + index) % addresses.len());
+            let (barrier, order, delay) = (&barrier, &orders[index], delays[index]);
             scope.spawn(move || {
-                together.wait();
+                barrier.wait();
                 std::thread::sleep(delay);
-                replace_at_any(&own, order, RECOVERY_TIMEOUT)
+                replace_at_any(&rotated, order, RECOVERY_TIMEOUT)
             })
         };
         [send(0), send(1)].map(|thread| thread.join().unwrap_or_default())
     })
 }
 
-/// Whichever node is called, it knows which of two was committed.
+/// Checks at every control node that committed orders are not rejected and the others not committed.
 fn check_conflicts(findings: &mut Findings, cluster: &Cluster, conflicts: &[Conflict]) {
     for peer in cluster.control_addresses() {
         for conflict in conflicts {
@@ -135,7 +140,7 @@
     );
 }
 
-/// Of the newest conflict every node knows for sure.
+/// Checks the newest conflict at one node, whose responses must be final within the bound.
 fn check_newest(findings: &mut Findings, peer: SocketAddr, newest: &Conflict) {
     let outcome = replace_at_any(&[peer], &newest.committed, RECOVERY_TIMEOUT);
     findings.check(
--- a/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
+++ b/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
@@ -1,5 +1,6 @@
-//! Point 5: replicas respond twice, late, without id, as another, in part, or not at all. A caller gets its own
-//! response or learns that there is none; a request that is not idempotent runs at most once.
+//! Point 5: replicas send duplicate responses, also late ones or ones without id, responses of another attempt,
+//! truncated responses, or none. A caller must get its own response or an error; a request that is not idempotent must
+//! run at most once.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,22 +16,19 @@
 use crate::replica::{Replica, ReplicaFaults, records};
 use linenthread_ctl::Response;
 
-/// Replicas of a service.
+/// The number of replicas of each service.
 const REPLICAS: usize = 3;
-/// Clients that send requests at the same time.
+/// The number of concurrent clients, each with one request at a time.
 const CLIENTS: usize = 8;
-/// The share of requests that goes wrong at a replica.
+/// The share of the requests to a replica that it answers with a fault.
 const FAULT_SHARE: f64 = 0.3;
-/// The deadline of a request.
-const DEADLINE: Duration = Duration::from_millis(600);
-/// How often an idempotent request is sent at most.
+const REQUEST_DEADLINE: Duration = Duration::from_millis(600);
+/// How often an idempotent request is sent to replicas at most.
 const MAX_ATTEMPTS: usize = 2;
-/// Bytes of a record.
 const RECORD_BYTES: usize = 16;
-/// So many of the greatest records make up a merged response.
+/// The number of records in a merged response: the greatest ones.
 const MERGED_RECORDS: usize = 5;
 
-/// The kinds of requests, one after another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestKind {
     Idempotent,
@@ -52,7 +50,7 @@
         }
     }
 
-    /// How often a request may run at most.
+    /// Returns how often a request may run at most.
     fn max_runs(self) -> usize {
         match self {
             RequestKind::Mutating => 1,
@@ -60,7 +58,7 @@
         }
     }
 
-    /// The header with the seals of the replicas that ran a request.
+    /// Returns the name of the header with the seals of the replicas that responded.
     fn seal_header(self) -> &'static str {
         match self {
             RequestKind::Merged => "x-part-seals",
@@ -95,7 +93,7 @@
         }
     }
 
-    /// Why a successful response is not this request's own; `None` if it is.
+    /// Describes why a successful response belongs to another request; `None` if it is this request's own.
     fn mismatch(&self, response: &Response) -> Option<String> {
         let header = response.head.header(self.kind.seal_header());
         let seals: Vec<&str> = header.unwrap_or_default().split(", ").collect();
@@ -108,11 +106,11 @@
             RequestKind::Idempotent | RequestKind::Mutating => records(self.service, &self.path),
         };
         (response.body != expected)
-            .then(|| format!("{} has bytes that are not its own", self.attempt))
+            .then(|| format!("{} has the body of another request", self.attempt))
     }
 }
 
-/// The greatest records of the services that these seals name.
+/// Returns the greatest records for a path of the services that these seals name.
 fn merged_records(seals: &[&str], path: &str) -> Vec<u8> {
     let services = seals.iter().filter_map(|seal| seal.split('.').next());
     let all: Vec<u8> = services
@@ -150,15 +148,15 @@
     Ok(findings)
 }
 
-/// What a client saw of one request.
+/// The outcome of one request as its client sees it.
 struct RequestOutcome {
     request: ClientRequest,
     status: Option<u16>,
-    /// Why the response is not the request's own.
+    /// Why the response belongs to another request, if it does.
     mismatch: Option<String>,
 }
 
-/// Several clients, each with one request at a time.
+/// Sends this many requests from concurrent clients; returns all outcomes.
 fn send_all(ingress: SocketAddr, requests: usize) -> Vec<RequestOutcome> {
     let next = AtomicUsize::new(0);
     let client = || {
@@ -183,7 +181,14 @@
 
 fn send(ingress: SocketAddr, request: ClientRequest) -> RequestOutcome {
     let method = request.kind.method();
-    let response = query_at(ingress, method, &request.path, &request.attempt, DEADLINE).ok();
+    let response = query_at(
+        ingress,
+        method,
+        &request.path,
+        &request.attempt,
+        REQUEST_DEADLINE,
+    )
+    .ok();
     RequestOutcome {
         status: response.as_ref().map(|response| response.status),
         mismatch: response
@@ -193,7 +198,7 @@
     }
 }
 
-/// Each successful response is the caller's own, and half of all requests have one.
+/// Checks that each successful response is the caller's own, and that at least half of all requests succeed.
 fn check_responses(findings: &mut Findings, outcomes: &[RequestOutcome]) {
     for outcome in outcomes {
         findings.check(
@@ -209,18 +214,18 @@
     findings.check(
         2 * successes >= outcomes.len(),
         "half of all requests succeed",
-        || format!("{successes}"),
+        || format!("only {successes} requests succeeded"),
     );
 }
 
-/// An attempt at a service.
+/// An attempt and the service that ran it.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptKey {
     service: String,
     attempt: String,
 }
 
-/// How often each request ran at all replicas together.
+/// Checks how often each request ran on all replicas of a service together.
 fn check_runs(findings: &mut Findings, cluster: &Cluster, outcomes: &[RequestOutcome]) {
     let mut runs: BTreeMap<AttemptKey, usize> = BTreeMap::new();
     for replica in &cluster.replicas {
@@ -242,17 +247,17 @@
             };
             runs.get(&key).copied().unwrap_or_default()
         };
-        let most = SERVICES.iter().map(|service| runs_at(service)).max();
-        let count = most.unwrap_or_default();
+        let max_runs = SERVICES.iter().map(|service| runs_at(service)).max();
+        let count = max_runs.unwrap_or_default();
         findings.check(
             count <= request.kind.max_runs(),
-            "a request runs at most as often as it may",
+            "a request runs no more often than allowed",
             || format!("{:?} {} ran {count} times", request.kind, request.attempt),
         );
     }
 }
 
-/// Adds how often each status and each fault came.
+/// Adds a note with the number of responses by status and of faults by name.
 fn add_counts(findings: &mut Findings, cluster: &Cluster, outcomes: &[RequestOutcome]) {
     let mut statuses: BTreeMap<Option<u16>, usize> = BTreeMap::new();
     for outcome in outcomes {
--- a/crates/linenthread-demo/src/scenarios/key_watch.rs
+++ b/crates/linenthread-demo/src/scenarios/key_watch.rs
@@ -1,4 +1,5 @@
-//! A client of each ingress node that sends queries all the time with a key that one order has and the next takes away.
+//! Checks that the keys of an order are applied, and that a revoked key is never served again: a client of each ingress
+//! node sends queries during the whole scenario with a key that the second order revokes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,28 +16,27 @@
 use crate::cluster::Cluster;
 use crate::order::{CHANGING_KEY_PREFIX, Order, STEADY_KEY, key_of_revision};
 
-/// The deadline of a query.
-const DEADLINE: Duration = Duration::from_millis(900);
-/// Between two queries of a client.
+const QUERY_DEADLINE: Duration = Duration::from_millis(900);
+/// The pause between two queries of a client.
 const QUERY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Running clients.
+/// Running clients, one for each ingress node.
 pub(super) struct KeyWatch {
     is_stopped: Arc<AtomicBool>,
     clients: Vec<JoinHandle<KeyHistory>>,
 }
 
-/// What became of one key at one ingress node.
+/// The outcomes of queries with one key at one ingress node.
 #[derive(Clone, Copy, Debug, Default)]
 struct KeyHistory {
     queries: usize,
     refused: usize,
-    /// Queries that were served after one had been refused.
+    /// The number of queries that were served after one had been refused.
     served_again: usize,
 }
 
 impl KeyWatch {
-    /// Starts with the key that only this order has.
+    /// Starts the clients with the key that only this order has.
     pub(super) fn start(cluster: &Cluster, order: &Order) -> KeyWatch {
         let is_stopped = Arc::new(AtomicBool::new(false));
         let clients = cluster
@@ -44,7 +44,7 @@
             .into_iter()
             .map(|peer| {
                 let (is_stopped, key) = (is_stopped.clone(), key_of_revision(order.revision));
-                std::thread::spawn(move || watch(peer, &key, &is_stopped))
+                std::thread::spawn(move || send_queries(peer, &key, &is_stopped))
             })
             .collect();
         KeyWatch {
@@ -53,25 +53,24 @@
         }
     }
 
-    /// Stops, and checks that the key was refused and not served again after that, and that no process wrote a key.
+    /// Stops the clients; checks that the key was refused and never served again after that, and that no process logged a
+    /// key.
     pub(super) fn check(mut self, findings: &mut Findings, cluster: &mut Cluster) {
         self.is_stopped.store(true, Ordering::Relaxed);
         for client in std::mem::take(&mut self.clients) {
             let history = client.join().unwrap_or_default();
-            findings.check(
-                history.refused > 0,
-                "a key that was taken away is refused",
-                || format!("{history:?}"),
-            );
+            findings.check(history.refused > 0, "a revoked key is refused", || {
+                format!("{history:?}")
+            });
             findings.check(
                 history.served_again == 0,
-                "a key that was taken away is never served again",
+                "a revoked key is never served again",
                 || format!("{history:?}"),
             );
-            findings.add_note(format!("a key that an order takes away: {history:?}"));
+            findings.add_note(format!("queries with a revoked key: {history:?}"));
         }
         let lines = cluster.all_lines_with_any(&[STEADY_KEY, CHANGING_KEY_PREFIX]);
-        findings.check(lines.is_empty(), "no log line has a key in it", || {
+        findings.check(lines.is_empty(), "no log line contains a key", || {
             format!("{} lines", lines.len())
         });
     }
@@ -83,8 +82,8 @@
     }
 }
 
-/// Sends queries on one connection after another until stopped.
-fn watch(peer: SocketAddr, key: &str, is_stopped: &AtomicBool) -> KeyHistory {
+/// Sends queries until stopped; opens a new connection when one has failed.
+fn send_queries(peer: SocketAddr, key: &str, is_stopped: &AtomicBool) -> KeyHistory {
     let mut history = KeyHistory::default();
     let mut connection = None;
     while !is_stopped.load(Ordering::Relaxed) {
@@ -99,7 +98,8 @@
     history
 }
 
-/// The status of a query on a connection that is kept for the next one; `None` if it has ended, or none was made.
+/// Sends a query and returns its status; keeps the connection for the next query. `None` if there is no connection or it
+/// has failed.
 fn query(
     connection: &mut Option<TenantClient>,
     peer: SocketAddr,
@@ -111,39 +111,42 @@
         None => TenantClient::connect(peer, key).ok()?,
     };
     let attempt = format!("watch-{number}");
-    let status = client.query("/all/watch", &attempt, DEADLINE).ok()?.status;
+    let status = client
+        .query("/all/watch", &attempt, QUERY_DEADLINE)
+        .ok()?
+        .status;
     *connection = Some(client);
     Some(status)
 }
 
-/// Each ingress node goes by the keys of the newest order in time: it serves the one that the order brought, and refuses
-/// the one that it took away.
+/// Checks that each ingress node applies the keys of the newest order in time: it serves the added key and refuses the
+/// revoked one.
 pub(super) fn check_keys(findings: &mut Findings, cluster: &Cluster, newest: &Order) {
-    let apply_until = Instant::now() + APPLY_TIMEOUT;
+    let apply_deadline = Instant::now() + APPLY_TIMEOUT;
     for peer in cluster.ingress_addresses() {
-        let brought = key_of_revision(newest.revision);
-        let status = status_in_time(peer, &brought, OK, apply_until);
+        let added = key_of_revision(newest.revision);
+        let status = wait_for_status(peer, &added, OK, apply_deadline);
         findings.check(
             status == Some(OK),
-            "the key that an order brings is served in time",
+            "the key that an order adds is served in time",
             || format!("revision {}: {status:?}", newest.revision),
         );
-        let taken = key_of_revision(newest.base);
-        let status = status_in_time(peer, &taken, UNAUTHORIZED, apply_until);
+        let revoked = key_of_revision(newest.base);
+        let status = wait_for_status(peer, &revoked, UNAUTHORIZED, apply_deadline);
         findings.check(
             status == Some(UNAUTHORIZED),
-            "the key that an order takes away is refused in time",
+            "the key that an order revokes is refused in time",
             || format!("revision {}: {status:?}", newest.base),
         );
     }
 }
 
-/// The status that queries with a key have as soon as it is the expected one, or the last one within the time.
-fn status_in_time(peer: SocketAddr, key: &str, expected: u16, until: Instant) -> Option<u16> {
+/// Sends queries with a key until their status is the expected one, or until a deadline; returns the last status.
+fn wait_for_status(peer: SocketAddr, key: &str, expected: u16, deadline: Instant) -> Option<u16> {
     let mut connection = None;
     for number in 0.. {
         let status = query(&mut connection, peer, key, number);
-        if status == Some(expected) || Instant::now() >= until {
+        if status == Some(expected) || Instant::now() >= deadline {
             return status;
         }
         std::thread::sleep(QUERY_INTERVAL);
--- a/crates/linenthread-demo/src/scenarios/late_retry.rs
+++ b/crates/linenthread-demo/src/scenarios/late_retry.rs
@@ -1,4 +1,5 @@
-//! Point 2: an order is sent again after many later ones, to every node, before and after a restart of all.
+//! Point 2: committed orders are sent again to every control node after many later ones, before and after a restart of
+//! all control nodes. None may be rejected.
 
 use linenthread_ctl::control_api::OK;
 
--- a/crates/linenthread-demo/src/scenarios/lost_quorum.rs
+++ b/crates/linenthread-demo/src/scenarios/lost_quorum.rs
@@ -1,5 +1,5 @@
-//! Point 1: two of three control nodes are paused. The third has no quorum: it confirms nothing, rejects nothing for
-//! good, and says so soon; traffic goes on by the last configuration.
+//! Point 1: two of three control nodes are paused. The third has no quorum: it must neither confirm nor finally reject
+//! any call, and respond so within a bound. Queries are served with the last configuration.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,37 +20,36 @@
 use crate::machine::Signal;
 use crate::order::Order;
 
-/// A call without a quorum is turned down, or left without a response, within this time.
-const UNAVAILABLE_WITHIN: Duration = Duration::from_secs(2);
-/// Calls are given up so much later.
+/// The time within which a node without a quorum responds that it is unavailable, if it responds at all.
+const UNAVAILABLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long after [`UNAVAILABLE_TIMEOUT`] a call times out.
 const CALL_SLACK: Duration = Duration::from_millis(500);
-/// Traffic has no longer gap than this.
+/// The longest time between two successful queries.
 const MAX_GAP: Duration = Duration::from_secs(1);
-/// Between two queries, and two rounds of calls.
+/// The pause between two queries, and between two rounds of calls.
 const INTERVAL: Duration = Duration::from_millis(20);
-/// The deadline of a query.
 const QUERY_DEADLINE: Duration = Duration::from_millis(900);
-/// At most one query in so many fails.
+/// At most one of this many queries may fail.
 const QUERIES_PER_FAILURE: usize = 20;
 
 pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
     let mut findings = Findings::default();
     let (mut cluster, first) = start_cluster(context)?;
-    let (alone, others) = draw_one(&cluster.control_names(), context.random);
+    let (running, others) = draw_one(&cluster.control_names(), context.random);
     let Some(ingress) = cluster.ingress_address(INGRESS) else {
         return Ok(findings);
     };
     let second = first.next(&SERVICES);
-    let is_done = AtomicBool::new(false);
+    let is_stopped = AtomicBool::new(false);
     let traffic = std::thread::scope(|scope| {
-        let traffic = scope.spawn(|| send_traffic(ingress, &is_done));
+        let traffic = scope.spawn(|| send_traffic(ingress, &is_stopped));
         for other in &others {
             cluster.signal(other, Signal::Stop);
         }
-        check_node_alone(
+        check_without_quorum(
             &mut findings,
             &cluster,
-            &alone,
+            &running,
             &first,
             &second,
             context.scale.pause,
@@ -59,23 +58,23 @@
             cluster.signal(other, Signal::Continue);
         }
         check_recovery(&mut findings, &mut cluster, &second);
-        is_done.store(true, Ordering::Relaxed);
+        is_stopped.store(true, Ordering::Relaxed);
         traffic.join().unwrap_or_default()
     });
     check_traffic(&mut findings, &traffic);
     Ok(findings)
 }
 
-/// While the others are paused, the node commits nothing, and knows that it has no quorum.
-fn check_node_alone(
+/// Checks that the running node gives no final response while the others are paused, and reports that it has no quorum.
+fn check_without_quorum(
     findings: &mut Findings,
     cluster: &Cluster,
-    alone: &str,
+    running: &str,
     first: &Order,
     second: &Order,
     pause: Duration,
 ) {
-    let Some(peer) = cluster.control_address(alone) else {
+    let Some(peer) = cluster.control_address(running) else {
         return;
     };
     let deadline = Instant::now() + pause;
@@ -83,35 +82,39 @@
         check_unavailable(findings, peer, first, second);
         std::thread::sleep(INTERVAL);
     }
-    let knows = cluster.wait_for_members(alone, UNAVAILABLE_WITHIN, |members| {
-        members.name == alone && !members.quorum
+    let reports_no_quorum = cluster.wait_for_members(running, UNAVAILABLE_TIMEOUT, |members| {
+        members.name == running && !members.quorum
     });
-    findings.check(knows, "it knows that it has no quorum", || alone.to_owned());
+    findings.check(
+        reports_no_quorum,
+        "the running node reports that it has no quorum",
+        || running.to_owned(),
+    );
 }
 
-/// When the others are back, the order is committed and reaches the ingress node.
+/// Checks that the order is committed after the other nodes have resumed, and that the ingress node applies it.
 fn check_recovery(findings: &mut Findings, cluster: &mut Cluster, order: &Order) {
     let outcome = replace_at_any(&cluster.control_addresses(), order, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(OK),
-        "the order is committed within the bound when the others are back",
+        "the order is committed within the bound after the other nodes have resumed",
         || describe(&outcome),
     );
     if !outcome.is(OK) {
-        add_state(findings, cluster, order);
+        add_node_states(findings, cluster, order);
     }
     let applied = ["event=configuration_applied", "revision=2"];
     let is_applied = cluster.wait_for_line(INGRESS, &applied, RECOVERY_TIMEOUT);
     findings.check(
         is_applied,
-        "the ingress node has it within the bound",
-        || "no update with revision 2".to_owned(),
+        "the ingress node applies the order within the bound",
+        || "revision 2 was not applied".to_owned(),
     );
     check_keys(findings, cluster, order);
 }
 
-/// Adds what each node knows and responds after an order had no clear response.
-fn add_state(findings: &mut Findings, cluster: &Cluster, order: &Order) {
+/// Adds notes with the response and the members of each control node, after an order had no success.
+fn add_node_states(findings: &mut Findings, cluster: &Cluster, order: &Order) {
     for peer in cluster.control_addresses() {
         let outcome = replace_at(peer, order, RECOVERY_TIMEOUT);
         findings.add_note(format!(
@@ -122,24 +125,23 @@
     }
 }
 
-/// A kind of call, and its outcome.
 struct NamedOutcome {
     call: &'static str,
     outcome: CallOutcome,
 }
 
-/// Each kind of call, all at once.
+/// Sends calls of all kinds at the same time, and checks that none gets a final response and none a late one.
 fn check_unavailable(findings: &mut Findings, peer: SocketAddr, first: &Order, second: &Order) {
     for NamedOutcome { call, outcome } in call_all(peer, first, second) {
         findings.check(
             !outcome.is_final(),
-            "nothing is settled without a quorum",
+            "no response is final without a quorum",
             || format!("{call}: {}", describe(&outcome)),
         );
-        let is_soon = outcome.status.is_none() || outcome.elapsed <= UNAVAILABLE_WITHIN;
+        let is_in_time = outcome.status.is_none() || outcome.elapsed <= UNAVAILABLE_TIMEOUT;
         findings.check(
-            is_soon,
-            "an unavailable response comes within its bound",
+            is_in_time,
+            "a response without a quorum comes within the bound",
             || format!("{call}: {}", describe(&outcome)),
         );
     }
@@ -147,7 +149,7 @@
 
 fn call_all(peer: SocketAddr, first: &Order, second: &Order) -> Vec<NamedOutcome> {
     let conflict = Order::new(0, 1, &SERVICES, 3);
-    let timeout = UNAVAILABLE_WITHIN + CALL_SLACK;
+    let timeout = UNAVAILABLE_TIMEOUT + CALL_SLACK;
     let calls: [(&'static str, &(dyn Fn() -> CallOutcome + Sync)); 5] = [
         ("read", &|| read_at(peer, timeout)),
         ("order", &|| replace_at(peer, second, timeout)),
@@ -158,8 +160,8 @@
         }),
     ];
     std::thread::scope(|scope| {
-        let running = calls.map(|(call, send)| (call, scope.spawn(send)));
-        running
+        let threads = calls.map(|(call, send)| (call, scope.spawn(send)));
+        threads
             .into_iter()
             .filter_map(|(call, thread)| {
                 let outcome = thread.join().ok()?;
@@ -169,19 +171,19 @@
     })
 }
 
-/// What a client saw of its queries.
+/// The outcomes of a client's queries.
 #[derive(Debug, Default)]
 struct Traffic {
     queries: usize,
     failed: usize,
-    /// The longest time between two responses.
+    /// The longest time from a successful response, or from the start, to the end of a later query.
     longest_gap: Duration,
 }
 
-fn send_traffic(ingress: SocketAddr, is_done: &AtomicBool) -> Traffic {
+fn send_traffic(ingress: SocketAddr, is_stopped: &AtomicBool) -> Traffic {
     let mut traffic = Traffic::default();
     let mut responded_at = Instant::now();
-    while !is_done.load(Ordering::Relaxed) {
+    while !is_stopped.load(Ordering::Relaxed) {
         let attempt = format!("t-{}", traffic.queries);
         let response = query_at(ingress, "GET", "/all/x", &attempt, QUERY_DEADLINE);
         traffic.queries += 1;
@@ -198,12 +200,14 @@
 }
 
 fn check_traffic(findings: &mut Findings, traffic: &Traffic) {
-    findings.check(traffic.longest_gap <= MAX_GAP, "traffic goes on", || {
-        format!("{traffic:?}")
-    });
+    findings.check(
+        traffic.longest_gap <= MAX_GAP,
+        "queries are served without a long gap",
+        || format!("{traffic:?}"),
+    );
     findings.check(
         traffic.failed * QUERIES_PER_FAILURE <= traffic.queries,
-        "19 of 20 queries are answered",
+        "19 of 20 queries succeed",
         || format!("{traffic:?}"),
     );
     findings.add_note(format!("{traffic:?}"));
--- a/crates/linenthread-demo/src/scenarios/mod.rs
+++ b/crates/linenthread-demo/src/scenarios/mod.rs
@@ -58,7 +58,7 @@
     RollingRestart,
     /// Point 4: a control node is started again after it missed many changes.
     CatchUp,
-    /// Point 5: replicas send duplicate, misattributed or truncated responses, or none.
+    /// Point 5: replicas send duplicate, late, truncated or misattributed responses, some without id, or none.
     FaultyReplicas,
     /// Point 6: keys of connected clients are revoked, added, and moved to other tenants.
     RevokedKeys,
--- a/crates/linenthread-demo/src/scenarios/paused_node.rs
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -1,5 +1,5 @@
 //! Point 1: a control node is paused for longer than every lease while the others acknowledge a new configuration.
-//! When it resumes, calls wait on its sockets: it responds to none of them by its old state.
+//! When it resumes, calls are pending on its sockets: it must not answer any of them from its old state.
 
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
@@ -19,20 +19,19 @@
 use crate::machine::Signal;
 use crate::order::Order;
 
-/// The replica that drains.
+/// The id of the draining replica.
 const DRAINING_REPLICA: &str = "i-drains";
 
-/// A call that waits on a socket of the paused node.
+/// A call that is pending on a socket of the paused node.
 enum PendingCall {
     Read,
-    /// An order that was acknowledged before.
+    /// An order that was acknowledged already.
     Retry(Order),
-    /// Another order of a revision that is committed.
+    /// An order that conflicts with a committed one of the same revision.
     Conflict(Order),
     Drain,
 }
 
-/// A call that waited, and its outcome.
 struct CompletedCall {
     call: PendingCall,
     outcome: CallOutcome,
@@ -77,20 +76,20 @@
     let outcome = read_at_any(&[peer], RECOVERY_TIMEOUT);
     findings.check(
         outcome.revision() == Some(2),
-        "it serves the newest again within the bound",
+        "the resumed node serves the newest configuration within the bound",
         || describe(&outcome),
     );
     let outcome = replace_at_any(&[peer], &conflict, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(PRECONDITION_FAILED),
-        "it rejects the other order once it knows",
+        "the resumed node rejects the conflicting order once it has caught up",
         || describe(&outcome),
     );
     keys.check(&mut findings, &mut cluster);
     Ok(findings)
 }
 
-/// Sends one call of each kind to the paused node.
+/// Sends calls of all kinds to the paused node, each from its own thread.
 fn start_calls(
     peer: SocketAddr,
     first: Order,
@@ -138,7 +137,7 @@
             let is_newest = !outcome.is_final() || outcome.is(OK) && outcome.revision() == Some(2);
             findings.check(
                 is_newest,
-                "a read on resuming is the newest or unavailable",
+                "a read on resuming returns the newest configuration or is unavailable",
                 || describe(outcome),
             );
             findings.add_note(format!("read on resuming: {}", describe(outcome)));
@@ -160,7 +159,7 @@
                     .any(|other| is_draining_at(*other, DRAINING_REPLICA));
             findings.check(
                 is_known,
-                "an acknowledged drain is known to another",
+                "an acknowledged drain is known to another node",
                 || describe(outcome),
             );
         }
--- a/crates/linenthread-demo/src/scenarios/platform_trouble.rs
+++ b/crates/linenthread-demo/src/scenarios/platform_trouble.rs
@@ -1,5 +1,6 @@
-//! Point 7: the platform is down, silent, busy and slow, in any order, and meanwhile the node that reports usage is killed
-//! and started again. Everything that was missed is made up for, and every rule of the reports holds as in calm times.
+//! Point 7: the platform is down, silent, busy or slow, resets connections or loses responses, in a random order, and
+//! the node that reports usage is killed and started again meanwhile. All missed reports must be sent afterwards, and the
+//! rules for reports hold as without faults, except that reports may be late.
 
 use std::time::Duration;
 
@@ -9,16 +10,16 @@
 use super::findings::Findings;
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{draw_duration, draw_index};
-use super::usage_reports::{check_goes_on, holder, restart, run_with};
+use super::usage_reports::{check_reports_continue, last_reporter, restart, run_with};
 use crate::cluster::Cluster;
 use crate::error::DemoError;
 
-/// Each kind of trouble lasts so long: longer than a node waits for a response.
-const TROUBLE: Duration = Duration::from_secs(4);
-/// How much later than usual a slow platform responds.
-const SLOWNESS: Duration = Duration::from_millis(900);
+/// How long each fault lasts: longer than a node waits for a response.
+const FAULT_DURATION: Duration = Duration::from_secs(4);
+/// The additional delay of each response of a slow platform.
+const RESPONSE_DELAY: Duration = Duration::from_millis(900);
 const MODES: [PlatformMode; 6] = [
-    PlatformMode::Slow(SLOWNESS),
+    PlatformMode::Slow(RESPONSE_DELAY),
     PlatformMode::ResponseLost,
     PlatformMode::Silent,
     PlatformMode::Busy,
@@ -27,27 +28,27 @@
 ];
 
 pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
-    // Besides the trouble itself, what was missed takes a moment to be made up for.
-    let lateness = MODES.iter().map(|_| TROUBLE).sum::<Duration>() + RECOVERY_TIMEOUT;
-    run_with(context, lateness, trouble_platform)
+    // Reports may be late by the duration of all faults and the time to send the missed ones.
+    let allowed_delay = MODES.iter().map(|_| FAULT_DURATION).sum::<Duration>() + RECOVERY_TIMEOUT;
+    run_with(context, allowed_delay, inject_platform_faults)
 }
 
-fn trouble_platform(
+fn inject_platform_faults(
     findings: &mut Findings,
     cluster: &mut Cluster,
     platform: &FakePlatform,
     context: &mut Context<'_>,
 ) -> Result<(), DemoError> {
-    let kill_in = draw_index(0, MODES.len(), context.random);
+    let kill_index = draw_index(0, MODES.len(), context.random);
     let mut modes = MODES.to_vec();
-    let mut order = Vec::new();
+    let mut past_modes = Vec::new();
     while !modes.is_empty() {
         let mode = modes.remove(draw_index(0, modes.len(), context.random));
         platform.set_mode(mode);
-        let before_kill = draw_duration(TROUBLE, context.random);
-        std::thread::sleep(before_kill);
-        if order.len() == kill_in
-            && let Some(killed) = holder(platform)
+        let kill_delay = draw_duration(FAULT_DURATION, context.random);
+        std::thread::sleep(kill_delay);
+        if past_modes.len() == kill_index
+            && let Some(killed) = last_reporter(platform)
         {
             cluster.kill(&killed);
             findings.add_note(format!(
@@ -55,11 +56,11 @@
             ));
             restart(findings, cluster, &killed)?;
         }
-        std::thread::sleep(TROUBLE.saturating_sub(before_kill));
-        order.push(mode);
+        std::thread::sleep(FAULT_DURATION.saturating_sub(kill_delay));
+        past_modes.push(mode);
     }
     platform.set_mode(PlatformMode::Healthy);
-    findings.add_note(format!("the platform was {order:?}"));
-    check_goes_on(findings, platform);
+    findings.add_note(format!("modes of the platform: {past_modes:?}"));
+    check_reports_continue(findings, platform);
     Ok(())
 }
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -76,14 +76,14 @@
         wiped,
         surviving: others[0].clone(),
     };
-    let is_connected = serves_reads(&cluster, &nodes.surviving, &nodes.replacement);
+    let is_serving = serves_reads(&cluster, &nodes.surviving, &nodes.replacement);
     findings.check(
-        is_connected,
+        is_serving,
         "the new node is connected and serves reads",
         || nodes.replacement.clone(),
     );
 
-    let survivors = replace_and_lose(
+    let survivors = replace_and_wipe(
         &mut findings,
         &mut cluster,
         &nodes,
@@ -103,7 +103,7 @@
 }
 
 /// Shuts down the replaced node, and kills another one and erases its disk; returns the addresses of the others.
-fn replace_and_lose(
+fn replace_and_wipe(
     findings: &mut Findings,
     cluster: &mut Cluster,
     nodes: &Nodes,
--- a/crates/linenthread-demo/src/scenarios/revoked_keys.rs
+++ b/crates/linenthread-demo/src/scenarios/revoked_keys.rs
@@ -1,6 +1,6 @@
-//! Point 6: an operator takes keys away, adds some and gives some to other tenants, while clients keep their
-//! connections. Each ingress node goes by the new configuration in time, the other keys are served all the time, and no
-//! key reaches a replica, a log or a rejection.
+//! Point 6: an operator revokes a key, adds one and moves one to another tenant while clients keep their connections.
+//! Each ingress node must apply the new configuration in time and serve unchanged keys without interruption, and no key
+//! may reach a replica, a log or the response to a rejected order.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -20,30 +20,28 @@
 
 const CONTROL_NODES: usize = 3;
 const INGRESS_NODES: usize = 2;
-/// Replicas of a service.
+/// The number of replicas of each service.
 const REPLICAS: usize = 2;
 /// The status of the response to an invalid order.
 const BAD_REQUEST: u16 = 400;
-/// The deadline of a query.
-const DEADLINE: Duration = Duration::from_millis(800);
-/// Between two queries of a client.
+const QUERY_DEADLINE: Duration = Duration::from_millis(800);
+/// The pause between two queries of a client.
 const QUERY_INTERVAL: Duration = Duration::from_millis(10);
-/// For so long a client goes on to see that what has changed stays so.
+/// How long a client continues after a change, to check that it stays in force.
 const STABLE_TIME: Duration = Duration::from_millis(500);
-/// Queries of a client with a key that stays.
+/// The path of queries with an unchanged key.
 const STEADY_PATH: &str = "/all/steady";
 
-/// A key that its tenant keeps.
+/// The key that its tenant keeps.
 const STEADY_KEY: &str = "k5tw9steady2rrytapjsu";
-/// A key that is taken away.
+/// The key that is revoked.
 const REVOKED_KEY: &str = "k7bd4revoked8rryiikdr";
-/// A key that is added.
+/// The key that is added.
 const ADDED_KEY: &str = "k2hn6added3brkbbkf83f";
-/// A key that another tenant gets.
+/// The key that is moved to another tenant.
 const MOVED_KEY: &str = "k9qc1moved5ajsujqurtx";
 const ALL_KEYS: [&str; 4] = [STEADY_KEY, REVOKED_KEY, ADDED_KEY, MOVED_KEY];
 
-/// The tenants before the change.
 fn tenants_before() -> Vec<Tenant> {
     vec![
         Tenant::new("left", &[STEADY_KEY, REVOKED_KEY]),
@@ -51,7 +49,7 @@
     ]
 }
 
-/// The tenants after it: one key is gone, one is new, one is another tenant's.
+/// Returns the tenants after the change: one key is revoked, one is added, and one belongs to another tenant.
 fn tenants_after() -> Vec<Tenant> {
     vec![
         Tenant::new("left", &[STEADY_KEY, MOVED_KEY]),
@@ -89,7 +87,7 @@
     Ok(findings)
 }
 
-/// What the statuses of a key are to be before the change and after it, at all ingress nodes.
+/// A key that the change concerns, and the expected status of its queries at all ingress nodes before and after it.
 struct KeyChange {
     key: &'static str,
     invariant: &'static str,
@@ -97,11 +95,11 @@
     after: u16,
 }
 
-/// The keys whose status changes, or whose tenant does.
+/// The keys whose status or tenant changes.
 const KEY_CHANGES: [KeyChange; 3] = [
     KeyChange {
         key: REVOKED_KEY,
-        invariant: "a key taken away is refused in time on an open connection",
+        invariant: "a revoked key is refused in time on an open connection",
         before: OK,
         after: UNAUTHORIZED,
     },
@@ -113,47 +111,49 @@
     },
     KeyChange {
         key: MOVED_KEY,
-        invariant: "a key that another tenant gets is served on an open connection",
+        invariant: "a key moved to another tenant is served on an open connection",
         before: OK,
         after: OK,
     },
 ];
 
-/// A client of one ingress node whose key changes.
+/// A client of one ingress node with a key that the change concerns.
 struct ChangedClient {
     change: &'static KeyChange,
     client: TenantClient,
-    /// What the ids of its queries begin with.
+    /// The prefix of the attempt ids of its queries.
     name: String,
     queries: usize,
 }
 
 impl ChangedClient {
-    /// The status of its next query; `None` if its connection has ended.
+    /// Sends the next query and returns its status; `None` if the connection has ended.
     fn query(&mut self) -> Option<u16> {
         self.queries += 1;
         let attempt = format!("{}-{}", self.name, self.queries);
-        let response = self.client.query("/all/changed", &attempt, DEADLINE);
+        let response = self.client.query("/all/changed", &attempt, QUERY_DEADLINE);
         response.ok().map(|response| response.status)
     }
 
-    /// Sends queries until the status is the one after the change, or the time is over, and then for a while longer.
-    fn wait_for_change(&mut self, apply_until: Instant) -> ChangeOutcome {
+    /// Sends queries until the status is the one expected after the change, or until the deadline, and then for
+    /// [`STABLE_TIME`] more.
+    fn wait_for_change(&mut self, apply_deadline: Instant) -> ChangeOutcome {
         let expected = Some(self.change.after);
-        let first = self.query_while(apply_until, |status| status != expected);
-        let stable_until = Instant::now() + STABLE_TIME;
-        let last = self.query_while(stable_until, |status| status == expected);
+        let first = self.query_while(apply_deadline, |status| status != expected);
+        let stable_deadline = Instant::now() + STABLE_TIME;
+        let last = self.query_while(stable_deadline, |status| status == expected);
         ChangeOutcome { first, last }
     }
 
-    /// Sends queries until a time while their status is like this and the connection is open; returns the last status.
+    /// Sends queries while the connection is open and `predicate` holds for their status, until a deadline; returns the
+    /// last status.
     fn query_while(
         &mut self,
-        until: Instant,
-        is_like: impl Fn(Option<u16>) -> bool,
+        deadline: Instant,
+        predicate: impl Fn(Option<u16>) -> bool,
     ) -> Option<u16> {
         let mut status = self.query();
-        while status.is_some() && is_like(status) && Instant::now() < until {
+        while status.is_some() && predicate(status) && Instant::now() < deadline {
             std::thread::sleep(QUERY_INTERVAL);
             status = self.query();
         }
@@ -161,15 +161,16 @@
     }
 }
 
-/// What a client saw of a change; `None` stands for a connection that has ended.
+/// The statuses that a client saw after a change; `None` if its connection has ended.
 struct ChangeOutcome {
-    /// The first status that is as it is to be after the change, or the last one within the bound.
+    /// The expected status, if it came within the bound, else the last status within the bound.
     first: Option<u16>,
-    /// The first one after it that isn't so any more, or the last one.
+    /// The first status after it that differs from the expected one, if any, else the last status.
     last: Option<u16>,
 }
 
-/// Sends the change, and checks each client whose key it concerns: before it, within the bound, and from then on.
+/// Sends the change, and checks the clients whose keys it concerns before the change, within the bound, and for a while
+/// after that.
 fn change_keys(findings: &mut Findings, cluster: &Cluster, addresses: &[SocketAddr]) {
     let mut clients = connect_all(findings, addresses);
     for client in &mut clients {
@@ -185,12 +186,12 @@
     findings.check(outcome.is(OK), "the change is acknowledged", || {
         describe(&outcome)
     });
-    let apply_until = Instant::now() + APPLY_TIMEOUT;
-    // All at once: a connection that no query comes on is closed as idle.
+    let apply_deadline = Instant::now() + APPLY_TIMEOUT;
+    // All clients wait at the same time, since a connection without queries is closed as idle.
     let outcomes: Vec<ChangeOutcome> = std::thread::scope(|scope| {
         let waits: Vec<_> = clients
             .iter_mut()
-            .map(|client| scope.spawn(move || client.wait_for_change(apply_until)))
+            .map(|client| scope.spawn(move || client.wait_for_change(apply_deadline)))
             .collect();
         waits
             .into_iter()
@@ -200,7 +201,7 @@
     findings.check(
         outcomes.len() == addresses.len() * KEY_CHANGES.len(),
         "each key is tried at each ingress node",
-        || format!("{} of them", outcomes.len()),
+        || format!("{} outcomes", outcomes.len()),
     );
     for (client, outcome) in clients.iter().zip(&outcomes) {
         check_change(findings, client, outcome);
@@ -227,7 +228,7 @@
     clients
 }
 
-/// The new status comes within the bound on the connection that is open, and stays.
+/// Checks that the expected status came within the bound on the open connection, and stayed.
 fn check_change(findings: &mut Findings, client: &ChangedClient, outcome: &ChangeOutcome) {
     let expected = Some(client.change.after);
     findings.check(outcome.first == expected, client.change.invariant, || {
@@ -243,11 +244,11 @@
     );
 }
 
-/// What a client saw whose key stays.
+/// The outcome of a client with an unchanged key.
 #[derive(Default)]
 struct SteadyOutcome {
     served: usize,
-    /// The first response that is no success, or the failure of the connection.
+    /// The status of the first response that is no success, or the error of the connection.
     failure: Option<String>,
 }
 
@@ -263,7 +264,7 @@
     };
     while !is_stopped.load(Ordering::Relaxed) && outcome.failure.is_none() {
         let attempt = format!("steady-{peer}-{}", outcome.served);
-        match client.query(STEADY_PATH, &attempt, DEADLINE) {
+        match client.query(STEADY_PATH, &attempt, QUERY_DEADLINE) {
             Ok(response) if response.status == OK => outcome.served += 1,
             Ok(response) => outcome.failure = Some(format!("status {}", response.status)),
             Err(error) => outcome.failure = Some(error.to_string()),
@@ -276,13 +277,17 @@
 fn check_steady(findings: &mut Findings, outcome: &SteadyOutcome) {
     findings.check(
         outcome.served > 0 && outcome.failure.is_none(),
-        "a key that stays is served all the time",
+        "an unchanged key is served without interruption",
         || format!("{} served, then {:?}", outcome.served, outcome.failure),
     );
-    findings.add_note(format!("{} served with a key that stays", outcome.served));
+    findings.add_note(format!(
+        "{} queries served with an unchanged key",
+        outcome.served
+    ));
 }
 
-/// An order in which two tenants share a key is rejected, and what was in force stays.
+/// Checks that an order in which two tenants share a key is rejected without a key in the response, and that the
+/// acknowledged configuration stays in force.
 fn check_shared_key(findings: &mut Findings, cluster: &Cluster) {
     let tenants = [
         Tenant::new("left", &[STEADY_KEY]),
@@ -295,24 +300,26 @@
         "an order in which two tenants share a key is invalid",
         || format!("{:?}", outcome.status),
     );
-    findings.check(!names_a_key(&outcome), "a rejection names no key", || {
-        describe(&outcome)
-    });
+    findings.check(
+        !contains_key(&outcome),
+        "the response to a rejected order contains no key",
+        || describe(&outcome),
+    );
     let read = read_at_any(&cluster.control_addresses(), RECOVERY_TIMEOUT);
     let acknowledged = Order::for_tenants(1, 2, &SERVICES, &tenants_after());
     findings.check(
         read.body == acknowledged.document,
-        "what was acknowledged reads back, to the byte",
+        "the acknowledged configuration reads back unchanged",
         || format!("revision {:?}", read.revision()),
     );
 }
 
-fn names_a_key(outcome: &CallOutcome) -> bool {
+fn contains_key(outcome: &CallOutcome) -> bool {
     let body = String::from_utf8_lossy(&outcome.body);
     ALL_KEYS.iter().any(|key| body.contains(key))
 }
 
-/// Replicas get the name of the key's tenant and no key.
+/// Checks that replicas received no key, and the name of the tenant that had the key at that time.
 fn check_replicas(findings: &mut Findings, cluster: &Cluster) {
     let received: Vec<_> = cluster
         .replicas
@@ -325,11 +332,11 @@
     });
     let steady = || received.iter().filter(|r| r.path == STEADY_PATH);
     let named = steady().filter(|r| r.tenant.as_deref() == Some("left"));
-    let (named, all) = (named.count(), steady().count());
+    let (named, total) = (named.count(), steady().count());
     findings.check(
-        named == all,
-        "replicas are told the tenant that has the key",
-        || format!("{named} of {all} requests"),
+        named == total,
+        "replicas receive the name of the tenant that has the key",
+        || format!("{named} of {total} requests"),
     );
     let moved: Vec<&str> = received
         .iter()
@@ -338,19 +345,21 @@
         .collect();
     findings.check(
         moved.first() == Some(&"right") && moved.last() == Some(&"left"),
-        "replicas are told the tenant that a key was given to",
+        "replicas receive the name of the tenant that a key was moved to",
         || format!("first {:?}, last {:?}", moved.first(), moved.last()),
     );
 }
 
-/// No process has written a key in the whole run.
+/// Checks that no process has written a key during the run.
 fn check_logs(findings: &mut Findings, cluster: &mut Cluster) {
     let lines = cluster.all_lines_with_any(&ALL_KEYS);
-    findings.check(lines.is_empty(), "no log line has a key in it", || {
+    findings.check(lines.is_empty(), "no log line contains a key", || {
         format!("{} lines", lines.len())
     });
     let total = cluster.all_lines_with_any(&["event="]).len();
-    findings.check(total > 0, "log lines are searched", || "none".to_owned());
+    findings.check(total > 0, "there are log lines to search", || {
+        "none".to_owned()
+    });
     findings.add_note(format!(
         "{total} log lines of all processes searched for keys"
     ));
--- a/crates/linenthread-demo/src/scenarios/rolling_restart.rs
+++ b/crates/linenthread-demo/src/scenarios/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Point 3: all control nodes are restarted one after another in any order, as planned, while orders go on.
+//! Point 3: all control nodes are shut down and restarted one after another, in a random order, while orders are sent.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::machine::Signal;
 use crate::writer::Writer;
 
-/// A node that was started again is in contact and has a value within this time.
+/// The time within which a restarted node has a quorum and a configuration.
 const RESTART_TIMEOUT: Duration = Duration::from_secs(6);
-/// The longest time between two restarts.
+/// The longest pause before the next restart.
 const MAX_DELAY: Duration = Duration::from_millis(500);
-/// The time between two orders.
+/// The pause after each acknowledged order.
 const ORDER_INTERVAL: Duration = Duration::from_millis(30);
 
 pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
@@ -43,7 +43,7 @@
         });
         findings.check(
             is_back,
-            "a node that was restarted is in contact within the bound",
+            "a restarted node is connected within the bound",
             || name.clone(),
         );
     }
--- a/crates/linenthread-demo/src/scenarios/setup.rs
+++ b/crates/linenthread-demo/src/scenarios/setup.rs
@@ -59,7 +59,9 @@
             cluster.wait_for_line(&name, &["event=control_listening"], START_TIMEOUT);
         let is_ready = is_listening
             && cluster.wait_for_members(&name, START_TIMEOUT, |members| members.quorum);
-        ensure_ready(is_ready, || format!("{name} has no quorum"))?;
+        ensure_ready(is_ready, || {
+            format!("{name} is not listening or has no quorum")
+        })?;
     }
     let outcome = replace_at_any(&cluster.control_addresses(), first, START_TIMEOUT);
     ensure_ready(outcome.is(OK), || {
@@ -72,7 +74,7 @@
         let is_ready = cluster.wait_for_line(&name, &applied, START_TIMEOUT)
             && cluster.wait_for_line(&name, &updated, START_TIMEOUT);
         ensure_ready(is_ready, || {
-            format!("{name} has not applied the configuration or lacks replicas")
+            format!("{name} has not applied revision 1 or does not know all replicas")
         })?;
     }
     Ok(())
--- a/crates/linenthread-demo/src/scenarios/usage_reports.rs
+++ b/crates/linenthread-demo/src/scenarios/usage_reports.rs
@@ -1,8 +1,8 @@
-//! Point 7: usage is reported while the control node that reports it is killed, and another one is paused for longer
-//! than every lease and resumes. The platform gets one report of each window, in time and from one node at a time, and
-//! the counts are those of the clients.
+//! Point 7: the control node that reports usage is killed, and then its successor is paused for longer than every lease
+//! and resumed. The platform must get one report of each window, in time and from one node at a time, with the counts of
+//! the clients' queries.
 //!
-//! [`run_with`] is for other faults during which the same must hold.
+//! [`run_with`] runs the same checks with other faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -26,14 +26,13 @@
 
 const CONTROL_NODES: usize = 3;
 const INGRESS_NODES: usize = 2;
-/// Replicas of a service.
+/// The number of replicas of each service.
 const REPLICAS: usize = 2;
-/// The deadline of a query.
-const DEADLINE: Duration = Duration::from_millis(800);
-/// Between two queries of a client.
+const QUERY_DEADLINE: Duration = Duration::from_millis(800);
+/// The pause between two queries of a client.
 const QUERY_INTERVAL: Duration = Duration::from_millis(8);
-/// Each query goes to one replica.
-const PATH: &str = "/s1/usage";
+/// The path of all queries; each is sent to one replica.
+const QUERY_PATH: &str = "/s1/usage";
 
 const REPORT_WINDOW: Duration = Duration::from_secs(2);
 const REPORT_DELAY: Duration = Duration::from_secs(10);
@@ -42,7 +41,7 @@
     lease: Duration::from_secs(3),
     report_window: REPORT_WINDOW,
 };
-/// How far a count may be off, as a fraction of the true one (`limits_table.usage_error` of the deployments).
+/// The largest error of a count, as a fraction of the true one (`limits_table.usage_error` of the deployments).
 const MAX_COUNT_ERROR: f64 = 0.05;
 
 /// The tenants, with the key of each.
@@ -52,14 +51,14 @@
 ];
 
 pub(super) fn run(context: &mut Context<'_>) -> Result<Findings, DemoError> {
-    run_with(context, Duration::ZERO, fail_holders)
+    run_with(context, Duration::ZERO, fail_reporting_nodes)
 }
 
-/// Reports usage while faults are injected, and checks all reports. Those of a platform that is in trouble may be late by
-/// so much.
+/// Runs a cluster that reports usage while faults are injected, and checks all reports. They may be late by
+/// `allowed_delay`, since a platform can't accept reports while it fails.
 pub(super) fn run_with(
     context: &mut Context<'_>,
-    platform_trouble: Duration,
+    allowed_delay: Duration,
     inject_faults: impl FnOnce(
         &mut Findings,
         &mut Cluster,
@@ -72,14 +71,14 @@
     let mut cluster = start_cluster(context, platform.address)?;
     let addresses = cluster.ingress_addresses();
     let is_stopped = AtomicBool::new(false);
-    let began_in = current_window();
+    let first_window = current_window();
     let last_window = std::thread::scope(|scope| {
         for peer in &addresses {
             for (tenant, key) in TENANTS {
                 scope.spawn(|| send_queries(*peer, tenant, key, &is_stopped));
             }
         }
-        await_first_report(&mut findings, &platform);
+        wait_for_first_report(&mut findings, &platform);
         let faults = inject_faults(&mut findings, &mut cluster, &platform, context);
         let last_window = current_window();
         is_stopped.store(true, Ordering::Relaxed);
@@ -89,18 +88,18 @@
         log.report(last_window).is_some()
     });
     findings.check(is_reported, "the last window is reported", || {
-        format!("not the window {last_window}")
+        format!("window {last_window} was not reported")
     });
     check_calls(&mut findings, &platform);
-    let report_delay = REPORT_DELAY + platform_trouble;
+    let report_delay = REPORT_DELAY + allowed_delay;
     check_windows(
         &mut findings,
         &platform.log().reports,
         last_window,
         report_delay,
     );
-    // Those in which clients began and ended are left out: their counts are small.
-    let full_windows = began_in + 1..last_window;
+    // In the windows in which the clients started and stopped the counts are small; they are left out.
+    let full_windows = first_window + 1..last_window;
     check_counts(&mut findings, &cluster, &platform, full_windows);
     Ok(findings)
 }
@@ -122,18 +121,17 @@
     Ok(cluster)
 }
 
-/// The window of the present moment.
 fn current_window() -> u64 {
     let now = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default();
     window_of(now)
 }
 
-/// The window of a moment, which is given since the start of 1970.
-fn window_of(moment: Duration) -> u64 {
-    moment.as_secs() / REPORT_WINDOW.as_secs()
+/// Returns the window that contains a time, which is given as the time since the Unix epoch.
+fn window_of(time: Duration) -> u64 {
+    time.as_secs() / REPORT_WINDOW.as_secs()
 }
 
-/// Sends queries of a tenant on one connection after another until stopped.
+/// Sends queries of a tenant until stopped; opens a new connection when one has failed.
 fn send_queries(
     peer: SocketAddr,
     tenant: &'static str,
@@ -149,7 +147,7 @@
         while !is_stopped.load(Ordering::Relaxed) {
             sent += 1;
             let attempt = format!("{tenant}-{peer}-{sent}");
-            if client.query(PATH, &attempt, DEADLINE).is_err() {
+            if client.query(QUERY_PATH, &attempt, QUERY_DEADLINE).is_err() {
                 break;
             }
             std::thread::sleep(QUERY_INTERVAL);
@@ -157,7 +155,7 @@
     }
 }
 
-fn await_first_report(findings: &mut Findings, platform: &FakePlatform) {
+fn wait_for_first_report(findings: &mut Findings, platform: &FakePlatform) {
     let is_reported = platform.wait_until(REPORT_DELAY + RECOVERY_TIMEOUT, |log| {
         !log.reports.is_empty()
     });
@@ -166,21 +164,22 @@
     });
 }
 
-/// The node whose report was accepted last.
-pub(super) fn holder(platform: &FakePlatform) -> Option<String> {
+/// Returns the name of the node whose report was accepted last.
+pub(super) fn last_reporter(platform: &FakePlatform) -> Option<String> {
     let log = platform.log();
     log.reports.last().map(|report| report.owner.clone())
 }
 
-/// Kills the node that reports, and pauses the next one; each time another one goes on within the bound.
-fn fail_holders(
+/// Kills the node that reports, and then pauses its successor; checks each time that another node continues within the
+/// bound.
+fn fail_reporting_nodes(
     findings: &mut Findings,
     cluster: &mut Cluster,
     platform: &FakePlatform,
     context: &mut Context<'_>,
 ) -> Result<(), DemoError> {
     std::thread::sleep(draw_duration(REPORT_WINDOW, context.random));
-    if let Some(killed) = holder(platform) {
+    if let Some(killed) = last_reporter(platform) {
         cluster.kill(&killed);
         check_successor(findings, platform, &killed, "killed");
         cluster.start_process(&killed)?;
@@ -191,28 +190,28 @@
     }
 
     std::thread::sleep(draw_duration(REPORT_WINDOW, context.random));
-    if let Some(paused) = holder(platform) {
+    if let Some(paused) = last_reporter(platform) {
         cluster.signal(&paused, Signal::Stop);
         let resumes_at = Instant::now() + context.scale.pause;
         check_successor(findings, platform, &paused, "paused");
         std::thread::sleep(resumes_at.saturating_duration_since(Instant::now()));
         cluster.signal(&paused, Signal::Continue);
     }
-    // What a node that resumes sends by its old state would arrive now.
-    check_goes_on(findings, platform);
+    // Reports that the resumed node sends from its old state would arrive during this check.
+    check_reports_continue(findings, platform);
     Ok(())
 }
 
-/// Reports go on within the bound.
-pub(super) fn check_goes_on(findings: &mut Findings, platform: &FakePlatform) {
+/// Checks that two more reports are accepted within the bound.
+pub(super) fn check_reports_continue(findings: &mut Findings, platform: &FakePlatform) {
     let reports = platform.log().reports.len();
-    let goes_on = platform.wait_until(RECOVERY_TIMEOUT, |log| log.reports.len() >= reports + 2);
-    findings.check(goes_on, "reports go on after the faults", || {
+    let continues = platform.wait_until(RECOVERY_TIMEOUT, |log| log.reports.len() >= reports + 2);
+    findings.check(continues, "reports continue after the faults", || {
         format!("{reports} reports before")
     });
 }
 
-/// Starts a node that was killed, and waits until it is in contact.
+/// Starts a node that was killed, and checks that it has a quorum within the bound.
 pub(super) fn restart(
     findings: &mut Findings,
     cluster: &mut Cluster,
@@ -226,46 +225,46 @@
     Ok(())
 }
 
-/// Another node than this one reports within the bound.
+/// Checks that another node reports within the bound after this one failed.
 fn check_successor(
     findings: &mut Findings,
     platform: &FakePlatform,
-    lost: &str,
+    failed: &str,
     fault: &'static str,
 ) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let has_successor = platform.wait_until(RECOVERY_TIMEOUT, |log| {
         log.reports
             .last()
-            .is_some_and(|report| report.owner != lost)
+            .is_some_and(|report| report.owner != failed)
     });
     findings.check(
         has_successor,
         "another node reports within the bound",
-        || format!("none since {lost} was {fault}"),
+        || format!("no report since {failed} was {fault}"),
     );
     findings.add_note(format!(
-        "{lost} was {fault}: next report after {} ms",
-        began.elapsed().as_millis()
+        "{failed} was {fault}: next report after {} ms",
+        started_at.elapsed().as_millis()
     ));
 }
 
-/// The calls keep the platform's rules and its rate.
+/// Checks that all calls followed the platform's rules and stayed within its rate.
 fn check_calls(findings: &mut Findings, platform: &FakePlatform) {
     let log = platform.log();
     findings.check(
         log.violations.is_empty(),
-        "calls at the platform keep its rules",
+        "calls to the platform follow its rules",
         || {
             let kinds: BTreeSet<String> = log.violations.iter().map(ToString::to_string).collect();
             kinds.into_iter().collect::<Vec<_>>().join("; ")
         },
     );
-    findings.check(log.over_rate == 0, "calls keep within the rate", || {
+    findings.check(log.over_rate == 0, "calls stay within the rate", || {
         format!("{} of {} too many", log.over_rate, log.received)
     });
     findings.add_note(format!(
-        "{} calls: {} reports, {} repeats, {} refused by their fence",
+        "{} calls: {} reports, {} repeats, {} refused because of their fencing token",
         log.received,
         log.reports.len(),
         log.repeats,
@@ -273,7 +272,7 @@
     ));
 }
 
-/// Each window is reported once, without gaps, after its end and in time.
+/// Checks that each window is reported once, without gaps, after its end and in time.
 fn check_windows(
     findings: &mut Findings,
     reports: &[AcceptedReport],
@@ -302,12 +301,13 @@
     }
     let latest = reports.iter().filter_map(|report| report.after_window_end);
     findings.add_note(format!(
-        "latest report {} ms after the end of its window",
+        "longest delay of a report: {} ms after the end of its window",
         latest.max().unwrap_or_default().as_millis()
     ));
 }
 
-/// How many queries of each tenant replicas began in each window: an attempt counts once, where it was first received.
+/// Returns the number of queries that replicas received, by window and tenant. An attempt counts once, in the window in
+/// which it was first received.
 fn true_counts(cluster: &Cluster) -> BTreeMap<(u64, String), u64> {
     let mut received: Vec<_> = cluster
         .replicas
@@ -327,7 +327,7 @@
     counts
 }
 
-/// The counts of these windows are those of the replicas.
+/// Checks the reported counts of these windows against those of the replicas.
 fn check_counts(
     findings: &mut Findings,
     cluster: &Cluster,
@@ -339,7 +339,7 @@
     });
     let expected = true_counts(cluster);
     let log = platform.log();
-    let mut greatest_error = 0.0_f64;
+    let mut max_error = 0.0_f64;
     for window in windows {
         for (tenant, _) in TENANTS {
             let expected = expected.get(&(window, tenant.to_owned())).copied();
@@ -347,18 +347,19 @@
                 .report(window)
                 .and_then(|report| report.tallies.get(tenant));
             let error = relative_error(reported.copied(), expected);
-            greatest_error = greatest_error.max(error);
+            max_error = max_error.max(error);
             findings.check(
                 error <= MAX_COUNT_ERROR,
-                "a tenant's count is right",
+                "a tenant's count is correct",
                 || format!("{window}, {tenant}: {reported:?} instead of {expected:?}"),
             );
         }
     }
-    findings.add_note(format!("greatest error of a count: {greatest_error:.4}"));
+    findings.add_note(format!("largest error of a count: {max_error:.4}"));
 }
 
-/// How far a count is off; a missing one is 0, and clients that were not served at all leave nothing to compare with.
+/// Returns the error of a count as a fraction of the expected one. A missing report counts as 0; without an expected
+/// count there is nothing to compare with, and the error is infinite.
 fn relative_error(reported: Option<u64>, expected: Option<u64>) -> f64 {
     let reported = reported.unwrap_or(0);
     expected.map_or(f64::INFINITY, |expected| {
@@ -366,7 +367,7 @@
     })
 }
 
-/// A count as a fraction's part: all are far below the numbers that are not exact.
+/// Converts a count without loss; counts above `u32::MAX`, which don't occur, become infinite.
 fn to_f64(count: u64) -> f64 {
     u32::try_from(count).map_or(f64::INFINITY, f64::from)
 }
