--- a/crates/linenthread-demo/src/cluster.rs
+++ b/crates/linenthread-demo/src/cluster.rs
@@ -37,7 +37,7 @@
     /// The first three numbers of all addresses. Drawn at random, so that concurrent clusters use different addresses.
     network: String,
     machines: Vec<Machine>,
-    /// Where the processes report usage.
+    /// The platform to which machines that are added report usage, if any.
     platform: Option<PlatformSettings>,
     /// Additional lines of the settings files of machines that are added.
     further_settings: String,
