--- a/crates/linenthread-demo/src/scenarios/paused_node.rs
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -1,5 +1,5 @@
 //! Point 1: a control node is paused for longer than every lease while the others acknowledge a new configuration.
-//! When it resumes, calls wait on its sockets: it responds to none of them by its old state.
+//! When it resumes, calls are pending on its sockets: it must not answer any of them from its old state.
 
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
@@ -13,26 +13,25 @@
 use super::scale::RECOVERY_TIMEOUT;
 use super::setup::{INGRESS, SERVICES, describe, draw_one, start_cluster};
 use crate::client::{
-    CallOutcome, drain_at, is_draining_at, read_anywhere, read_at, replace_anywhere, replace_at,
+    CallOutcome, drain_at, is_draining_at, read_at, read_at_any, replace_at, replace_at_any,
 };
 use crate::error::DemoError;
 use crate::machine::Signal;
 use crate::order::Order;
 
-/// The replica that drains.
+/// The id of the draining replica.
 const DRAINING_REPLICA: &str = "i-drains";
 
-/// A call that waits on a socket of the paused node.
+/// A call that is pending on a socket of the paused node.
 enum PendingCall {
     Read,
-    /// An order that was acknowledged before.
+    /// An order that was acknowledged already.
     Retry(Order),
-    /// Another order of a revision that is committed.
+    /// An order that conflicts with a committed one of the same revision.
     Conflict(Order),
     Drain,
 }
 
-/// A call that waited, and its outcome.
 struct CompletedCall {
     call: PendingCall,
     outcome: CallOutcome,
@@ -51,7 +50,7 @@
     cluster.signal(&paused, Signal::Stop);
     let resumes_at = Instant::now() + context.scale.pause;
     let second = first.next(&SERVICES);
-    let outcome = replace_anywhere(&others, &second, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&others, &second, RECOVERY_TIMEOUT);
     findings.check(outcome.is(OK), "the others acknowledge an order", || {
         describe(&outcome)
     });
@@ -74,23 +73,23 @@
             check_call(&mut findings, &call, &outcome, &others);
         }
     }
-    let outcome = read_anywhere(&[peer], RECOVERY_TIMEOUT);
+    let outcome = read_at_any(&[peer], RECOVERY_TIMEOUT);
     findings.check(
         outcome.revision() == Some(2),
-        "it serves the newest again within the bound",
+        "the resumed node serves the newest configuration within the bound",
         || describe(&outcome),
     );
-    let outcome = replace_anywhere(&[peer], &conflict, RECOVERY_TIMEOUT);
+    let outcome = replace_at_any(&[peer], &conflict, RECOVERY_TIMEOUT);
     findings.check(
         outcome.is(PRECONDITION_FAILED),
-        "it rejects the other order once it knows",
+        "the resumed node rejects the conflicting order once it has caught up",
         || describe(&outcome),
     );
     keys.check(&mut findings, &mut cluster);
     Ok(findings)
 }
 
-/// Sends one call of each kind to the paused node.
+/// Sends calls of all kinds to the paused node, each from its own thread.
 fn start_calls(
     peer: SocketAddr,
     first: Order,
@@ -135,21 +134,21 @@
 ) {
     match call {
         PendingCall::Read => {
-            let is_newest = !outcome.is_clear() || outcome.is(OK) && outcome.revision() == Some(2);
+            let is_newest = !outcome.is_final() || outcome.is(OK) && outcome.revision() == Some(2);
             findings.check(
                 is_newest,
-                "a read on resuming is the newest or unavailable",
+                "a read on resuming returns the newest configuration or is unavailable",
                 || describe(outcome),
             );
             findings.add_note(format!("read on resuming: {}", describe(outcome)));
         }
         PendingCall::Retry(order) => findings.check(
-            outcome.is_or_unclear(OK),
+            outcome.is_or_not_final(OK),
             "an acknowledged order is not rejected on resuming",
             || format!("revision {}: {}", order.revision, describe(outcome)),
         ),
         PendingCall::Conflict(order) => findings.check(
-            outcome.is_or_unclear(PRECONDITION_FAILED),
+            outcome.is_or_not_final(PRECONDITION_FAILED),
             "another order of a committed revision is not acknowledged",
             || format!("revision {}: {}", order.revision, describe(outcome)),
         ),
@@ -160,7 +159,7 @@
                     .any(|other| is_draining_at(*other, DRAINING_REPLICA));
             findings.check(
                 is_known,
-                "an acknowledged drain is known to another",
+                "an acknowledged drain is known to another node",
                 || describe(outcome),
             );
         }
