--- a/crates/linenthread-fakes/src/client.rs
+++ b/crates/linenthread-fakes/src/client.rs
@@ -1,4 +1,4 @@
-//! A client over HTTP/1.1.
+//! An HTTP/1.1 client that sends queries.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,36 +8,37 @@
 use crate::PATIENCE;
 use crate::http::read_message;
 
-/// A connection over which queries are made. Its methods panic if the connection fails, but for `try_*` and
+/// A client connection for queries. Its methods panic if the connection fails, except `try_*` and
 /// [`Client::response`].
 pub struct Client(BufReader<TcpStream>);
 
 /// An HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The headers, as `name: value` in lower case.
+    /// The header lines, as `name: value` in lower case.
     pub headers: Vec<String>,
     /// The body.
     pub body: String,
 }
 
-/// The response to a query of a merged index.
+/// The response to a query on a merged index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MergedResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The body; a string if it is not JSON.
+    /// The body as JSON, or as a JSON string if it cannot be parsed.
     pub body: Value,
 }
 
-/// The text of a query's HTTP request.
+/// Returns the HTTP request of a query with a default query text.
 pub fn request(index: &str, id: &str, shards: &[usize]) -> String {
     request_with(index, id, shards, "what is asked", &json!(null))
 }
 
-/// The text of an HTTP request with this query text, and a page if the index is merged.
+/// Returns the HTTP request of a query with this query text. `page` is included unless it is null; only merged
+/// indexes take one.
 pub fn request_with(index: &str, id: &str, shards: &[usize], text: &str, page: &Value) -> String {
     let bucket = |shard| json!({"bucket": shard, "part": 1.0 / shards.len() as f64});
     let buckets: Vec<Value> = shards.iter().map(bucket).collect();
@@ -54,14 +55,14 @@
 }
 
 impl Client {
-    /// Connects to an address where possibly nothing listens.
+    /// Connects to an address. Returns `None` if the connection cannot be established.
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
         let connection = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
         connection.set_read_timeout(Some(PATIENCE)).ok()?;
         Some(Client(BufReader::new(connection)))
     }
 
-    /// Sends a request; whether the connection took it.
+    /// Sends a request, and reports whether it could be written to the connection.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.0.get_mut().write_all(text.as_bytes()).is_ok()
     }
@@ -80,32 +81,32 @@
         Client(BufReader::new(connection))
     }
 
-    /// Sends a request, as [`request`] makes it.
+    /// Sends an HTTP request such as [`request`] returns.
     ///
     /// # Panics
     ///
-    /// If the connection does not take it.
+    /// If the request cannot be written to the connection.
     pub fn send(&mut self, text: &str) {
         self.0
             .get_mut()
             .write_all(text.as_bytes())
-            .expect("the connection takes the request");
+            .expect("the request can be written to the connection");
     }
 
-    /// Sends a query.
+    /// Sends a query on an index.
     ///
     /// # Panics
     ///
-    /// If the connection does not take it.
+    /// If the request cannot be written to the connection.
     pub fn query(&mut self, index: &str, id: &str, shards: &[usize]) {
         self.send(&request(index, id, shards));
     }
 
-    /// Queries a merged index.
+    /// Sends a query on a merged index and waits for its response.
     ///
     /// # Panics
     ///
-    /// If the connection does not take the query, or ends without a response.
+    /// If the query cannot be written to the connection, or the connection ends without a response.
     pub fn query_merged(
         &mut self,
         index: &str,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The next response. `None` if the connection ends without one.
+    /// Reads the next response. Returns `None` if the connection ends without one.
     pub fn response(&mut self) -> Option<ClientResponse> {
         let message = read_message(&mut self.0)?;
         Some(ClientResponse {
@@ -132,11 +133,11 @@
         })
     }
 
-    /// The status of the next response.
+    /// Reads the next response and returns its status.
     ///
     /// # Panics
     ///
-    /// If the connection ends without one.
+    /// If the connection ends without a response.
     pub fn status(&mut self) -> u16 {
         self.response().expect("a response arrives").status
     }
--- a/crates/linenthread-fakes/src/files.rs
+++ b/crates/linenthread-fakes/src/files.rs
@@ -4,12 +4,12 @@
 
 use tempfile::TempDir;
 
-/// An empty folder, deleted with the value.
+/// Creates an empty folder that is deleted when the returned value is dropped.
 pub(crate) fn temporary_folder() -> TempDir {
-    tempfile::tempdir().expect("a temporary folder can be made")
+    tempfile::tempdir().expect("a temporary folder can be created")
 }
 
-/// Writes a file, in place of an older one.
+/// Writes a file, replacing an existing one.
 pub(crate) fn write_file(path: &Path, contents: &str) {
     std::fs::write(path, contents)
         .unwrap_or_else(|error| panic!("{} can be written: {error}", path.display()));
--- a/crates/linenthread-fakes/src/http.rs
+++ b/crates/linenthread-fakes/src/http.rs
@@ -1,4 +1,4 @@
-//! As much of HTTP/1.1 as the fakes need.
+//! The subset of HTTP/1.1 that the fakes need.
 
 use std::io::{BufRead, Write};
 use std::net::TcpStream;
@@ -6,21 +6,22 @@
 /// One HTTP message.
 pub(crate) struct Message {
     pub(crate) start_line: String,
-    /// In lower case.
+    /// The header lines, in lower case.
     pub(crate) headers: Vec<String>,
     pub(crate) body: String,
 }
 
-/// Writes a response with status 200.
+/// Sends a response with status 200.
 pub(crate) fn write_response(mut connection: &TcpStream, body: &str) {
     let length = body.len();
     let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}");
     connection
         .write_all(response.as_bytes())
-        .expect("the connection takes the response");
+        .expect("the response can be written to the connection");
 }
 
-/// Reads one HTTP message; `None` if the connection ends without one or it is malformed.
+/// Reads one HTTP message. Returns `None` if the connection ends before a complete message or the message is
+/// malformed.
 pub(crate) fn read_message(from: &mut impl BufRead) -> Option<Message> {
     let start_line = read_line(from)?;
     let mut headers = Vec::new();
--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -1,13 +1,14 @@
-//! Fakes of everything round a coordinator: replicas, service discovery, clients, and replicas that hold real rows.
-//! They serve tests, simulations and `linenthread try`, with faults on cue.
+//! Fakes of the systems around a coordinator: replicas, service discovery, clients, and replicas that hold real rows.
+//! They are used by tests, simulations and `linenthread try`, and inject faults on demand.
 //!
-//! The fakes use threads and blocking sockets on loopback, and wait for events, for at most [`PATIENCE`]. Nothing
-//! here uses code of the program under test, so that a fault of the program cannot hide behind the same fault here.
-//! Where a step of a test itself fails, it panics and names what it waited for.
+//! The fakes use threads and blocking sockets on loopback, and wait at most [`PATIENCE`] for each event. This crate
+//! shares no code with the program under test, so that a bug of the program cannot be masked by the same bug here.
+//! When a step of a test fails, it panics with a message that names the event it waited for.
 //!
-//! [`Service`] runs one process and is the place to start reading. [`sites`] has two sites with a link between,
-//! [`rig`] several processes with faults between them, [`scenarios`] scripts of such faults, [`checker`] checks
-//! merged responses against the rows of a [`row_store`], and [`platform`] is what usage is reported to.
+//! [`Service`] runs one process and is the place to start reading. [`sites`] runs two sites connected by a link,
+//! [`rig`] runs several processes with faults injected between them, [`scenarios`] contains scripts of such faults,
+//! [`checker`] checks merged responses against the rows of a [`row_store`], and [`platform`] fakes the platform that
+//! receives usage reports.
 
 pub mod checker;
 mod client;
@@ -37,12 +38,12 @@
 pub use row_replicas::{Behavior, RowReplicas, Treatment};
 pub use service_discovery::{ServiceDiscovery, member, membership};
 
-/// How long an event is awaited.
+/// The longest wait for a single event.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
-/// Waits for an event.
+/// Waits for the next event, and panics with `what` if none arrives within [`PATIENCE`].
 fn wait<T>(events: &Receiver<T>, what: &str) -> T {
     events
         .recv_timeout(PATIENCE)
-        .unwrap_or_else(|_| panic!("{what} did not come"))
+        .unwrap_or_else(|_| panic!("{what} did not arrive within {PATIENCE:?}"))
 }
--- a/crates/linenthread-fakes/src/network.rs
+++ b/crates/linenthread-fakes/src/network.rs
@@ -1,5 +1,5 @@
-//! The network of a rig: a proxy on every directed pair, for connections and for datagrams, and the faults between
-//! them.
+//! The network of a rig: a proxy for every directed pair of nodes, for TCP connections and for datagrams, and the
+//! faults that are injected between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
@@ -12,12 +12,12 @@
 
 use crate::sync::lock;
 
-/// Bytes that a connection's proxy reads at once.
+/// Size in bytes of the buffer of a connection's proxy.
 const CONNECTION_BUFFER: usize = 16 * 1024;
-/// Bytes of the longest datagram.
+/// The maximum size of a datagram in bytes.
 const MAX_DATAGRAM: usize = 2_048;
 
-/// Two nodes, in the direction in which one sends to the other.
+/// A directed pair of nodes: the sender and the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct NodePair {
     from: usize,
@@ -37,12 +37,12 @@
     }
 }
 
-/// One open connection.
+/// An open connection through the network.
 struct OpenConnection {
-    /// The node that opened it, and the other.
+    /// The node that opened the connection, and the node that accepted it.
     ends: NodePair,
     streams: [TcpStream; 2],
-    /// Bytes were lost in a partition: what follows them is of no use.
+    /// Whether bytes were lost in a partition, so that the rest of the stream cannot be forwarded.
     corrupted: bool,
 }
 
@@ -56,12 +56,12 @@
 
 #[derive(Default)]
 struct State {
-    /// From the one node to the other nothing passes.
+    /// The directed pairs between which all traffic is dropped.
     partitioned: BTreeSet<NodePair>,
-    /// Nodes that refuse connections.
+    /// The nodes that refuse connections.
     down: BTreeSet<usize>,
     delay: Duration,
-    /// The share of datagrams that are lost, in thousandths.
+    /// The share of datagrams that are dropped, in thousandths.
     loss: u64,
     open: BTreeMap<u64, OpenConnection>,
     last_number: u64,
@@ -75,7 +75,7 @@
     }
 }
 
-/// All connections between the nodes of a rig, which are numbered.
+/// The network between the nodes of a rig. Nodes are identified by number.
 #[derive(Clone, Default)]
 pub struct Network(Arc<Mutex<State>>);
 
@@ -87,9 +87,9 @@
     writer: TcpStream,
 }
 
-/// What becomes of bytes that have arrived.
-struct Fate {
-    lost: bool,
+/// How to forward received bytes.
+struct Forwarding {
+    drop: bool,
     delay: Duration,
 }
 
@@ -98,7 +98,7 @@
         lock(&self.0)
     }
 
-    /// Drops all from any of these nodes to any of those.
+    /// Drops all traffic from any node in `from` to any node in `to`.
     pub fn partition_one_way(&self, from: &[usize], to: &[usize]) {
         let mut state = self.state();
         for &from in from {
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Drops all between two groups of nodes, in both directions.
-    pub fn partition(&self, some: &[usize], others: &[usize]) {
-        self.partition_one_way(some, others);
-        self.partition_one_way(others, some);
+    /// Drops all traffic between two groups of nodes, in both directions.
+    pub fn partition(&self, first: &[usize], second: &[usize]) {
+        self.partition_one_way(first, second);
+        self.partition_one_way(second, first);
     }
 
-    /// Ends all partitions, delays and losses. Connections that lost bytes meanwhile are closed.
+    /// Ends all partitions, delays and datagram losses. Connections that lost bytes in the meantime are closed.
     pub fn heal(&self) {
         let mut state = self.state();
         state.partitioned.clear();
@@ -125,7 +125,7 @@
         corrupted.for_each(OpenConnection::close);
     }
 
-    /// Has a node refuse connections, and closes those it has; or has it accept them again.
+    /// Sets whether a node is down. A node that is down refuses connections; its open connections are closed.
     pub fn set_down(&self, node: usize, down: bool) {
         let mut state = self.state();
         if !down {
@@ -138,17 +138,17 @@
         connections.for_each(OpenConnection::close);
     }
 
-    /// Delays all bytes, and loses so many of a thousand datagrams.
+    /// Delays all bytes of connections, and drops a share of the datagrams, given in thousandths.
     pub fn degrade(&self, delay: Duration, loss: u64) {
         let mut state = self.state();
         (state.delay, state.loss) = (delay, loss);
     }
 
-    /// Forwards connections from one node to another.
+    /// Listens on an address and forwards connections from one node to another.
     ///
     /// # Panics
     ///
-    /// If the address on which to listen is in use.
+    /// If the listen address is in use.
     pub fn proxy_connections(
         &self,
         from: usize,
@@ -157,7 +157,7 @@
         upstream: SocketAddr,
     ) {
         let listener = TcpListener::bind(listen)
-            .unwrap_or_else(|error| panic!("a proxy on {listen}: {error}"));
+            .unwrap_or_else(|error| panic!("cannot listen on {listen}: {error}"));
         let network = self.clone();
         spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
@@ -178,7 +178,7 @@
         }
         client.set_nodelay(true).ok();
         if self.is_partitioned(nodes) || self.is_partitioned(nodes.reversed()) {
-            self.swallow(nodes, client);
+            self.discard_until_closed(nodes, client);
             return;
         }
         let Ok(server) = TcpStream::connect(upstream) else {
@@ -213,9 +213,9 @@
         self.state().open.remove(&connection);
     }
 
-    /// Reads a connection into a partition, until it is closed: by the client, or when the network heals. The
-    /// server does not see it.
-    fn swallow(&self, ends: NodePair, mut client: TcpStream) {
+    /// Discards all bytes of a connection that is opened across a partition, until the client closes it or the
+    /// network is healed. No connection to the server is opened.
+    fn discard_until_closed(&self, ends: NodePair, mut client: TcpStream) {
         let (Ok(first), Ok(second)) = (client.try_clone(), client.try_clone()) else {
             return;
         };
@@ -235,40 +235,42 @@
             if length == 0 {
                 break;
             }
-            let Some(fate) = self.fate(&flow) else {
+            let Some(forwarding) = self.forwarding(&flow) else {
                 break;
             };
-            sleep(fate.delay);
-            if !fate.lost && flow.writer.write_all(&buffer[..length]).is_err() {
+            sleep(forwarding.delay);
+            if !forwarding.drop && flow.writer.write_all(&buffer[..length]).is_err() {
                 break;
             }
         }
-        // A partition hides the end: the other side finds out by itself, or when the network heals.
-        let hidden = self.is_partitioned(flow.nodes);
+        // The end of a connection does not cross a partition: the other side detects it by its own time-out, or when
+        // the network is healed.
+        let is_partitioned = self.is_partitioned(flow.nodes);
         flow.reader.shutdown(Shutdown::Both).ok();
-        if !hidden {
+        if !is_partitioned {
             flow.writer.shutdown(Shutdown::Both).ok();
         }
     }
 
-    /// What becomes of bytes that have just arrived; `None` if the connection is gone.
-    fn fate(&self, flow: &Flow) -> Option<Fate> {
+    /// Decides how to forward bytes that were just received. Returns `None` if the connection is closed.
+    fn forwarding(&self, flow: &Flow) -> Option<Forwarding> {
         let mut state = self.state();
         let partitioned = state.partitioned.contains(&flow.nodes);
         let delay = state.delay;
         let open = state.open.get_mut(&flow.connection)?;
         open.corrupted |= partitioned;
-        Some(Fate {
-            lost: open.corrupted,
+        Some(Forwarding {
+            drop: open.corrupted,
             delay,
         })
     }
 
-    /// Forwards datagrams to a node; the sender is known by its address.
+    /// Listens on an address and forwards datagrams to a node. The sender is identified by its address; datagrams from
+    /// addresses that are not in `senders` are dropped.
     ///
     /// # Panics
     ///
-    /// If the address on which to listen is in use.
+    /// If the listen address is in use.
     pub fn proxy_datagrams(
         &self,
         listen: SocketAddr,
@@ -277,8 +279,8 @@
         senders: BTreeMap<SocketAddr, usize>,
         seed: u64,
     ) {
-        let socket =
-            UdpSocket::bind(listen).unwrap_or_else(|error| panic!("a proxy on {listen}: {error}"));
+        let socket = UdpSocket::bind(listen)
+            .unwrap_or_else(|error| panic!("cannot listen on {listen}: {error}"));
         let network = self.clone();
         let mut rng = Rand64::new(u128::from(seed));
         spawn(move || {
@@ -290,12 +292,12 @@
                 let Some(&from) = senders.get(&from) else {
                     continue;
                 };
-                let lost = {
+                let dropped = {
                     let state = network.state();
                     state.partitioned.contains(&NodePair { from, to })
                         || rng.rand_range(0..1_000) < state.loss
                 };
-                if !lost {
+                if !dropped {
                     socket.send_to(&buffer[..length], upstream).ok();
                 }
             }
--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -1,4 +1,4 @@
-//! The program under test, and its settings.
+//! Runs the program under test, and builds its settings.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -15,24 +15,24 @@
 use crate::files::{temporary_folder, write_file};
 use crate::wait;
 
-/// The index whose queries may run again.
+/// The index with idempotent queries.
 pub(crate) const FIND: &str = "find";
-/// The index whose queries may run only once.
+/// The index with non-idempotent queries.
 pub(crate) const ORDER: &str = "order";
 
-/// An index in the settings.
+/// The settings of an index.
 pub struct IndexSettings {
-    /// Its name.
+    /// The name of the index.
     pub name: &'static str,
-    /// Its queries may run only once.
+    /// Whether its queries must be executed at most once.
     pub non_idempotent: bool,
     /// The soft deadline of its queries.
     pub soft_deadline: Duration,
-    /// The least share of the weight that a partial response must have; with 1.0 all responses are complete.
+    /// The minimum share of the query's weight that a partial response must cover. With 1.0, all responses are complete.
     pub floor: f64,
 }
 
-/// The indexes `find`, `order` (non-idempotent), `swift` (700 ms), all with complete responses only.
+/// The indexes `find`, `order` (non-idempotent) and `swift` (soft deadline 700 ms), all with complete responses only.
 const DEFAULT_INDEXES: [IndexSettings; 3] = [
     IndexSettings {
         name: FIND,
@@ -54,7 +54,7 @@
     },
 ];
 
-/// The indexes `find` and `order` (non-idempotent), with complete responses only.
+/// Returns the settings of the indexes `find` and `order` (non-idempotent), with complete responses only.
 pub(crate) fn find_and_order(soft_deadline: Duration) -> [IndexSettings; 2] {
     let index = |name, non_idempotent| IndexSettings {
         name,
@@ -65,12 +65,12 @@
     [index(FIND, false), index(ORDER, true)]
 }
 
-/// A length of time as the settings give it.
-pub(crate) fn millis(length: Duration) -> u64 {
-    u64::try_from(length.as_millis()).expect("a length of time in the settings is short")
+/// Converts a duration to whole milliseconds.
+pub(crate) fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).expect("durations in the settings are short")
 }
 
-/// Settings with so many replica groups, where each shard is in two neighbouring groups.
+/// Returns settings with this number of replica groups, where two neighbouring groups hold each shard.
 fn settings(indexes: &[IndexSettings], groups: usize, shards: usize) -> Value {
     let class = |index: &IndexSettings| {
         json!({"name": index.name, "idempotency": if index.non_idempotent { "unsafe" } else { "safe" },
@@ -95,20 +95,20 @@
     })
 }
 
-/// The contents of `config.json` with two replica groups, each with all four shards.
+/// Returns the contents of `config.json` with two replica groups, each of which holds all four shards.
 ///
 /// # Panics
 ///
-/// If `known` is no membership.
+/// If `known` is not JSON.
 pub fn config(discovery: SocketAddr, known: &str) -> Value {
     config_of(discovery, known, &DEFAULT_INDEXES, 2, 4)
 }
 
-/// The contents of `config.json` with these indexes.
+/// Returns the contents of `config.json` with these indexes, and these numbers of replica groups and shards.
 ///
 /// # Panics
 ///
-/// If `known` is no membership.
+/// If `known` is not JSON.
 pub fn config_of(
     discovery: SocketAddr,
     known: &str,
@@ -122,11 +122,11 @@
            "settings": settings(indexes, groups, shards)})
 }
 
-/// Runs the program to its end with a command and a configuration file.
+/// Runs a command of the program with a configuration file, and waits until it exits.
 ///
 /// # Panics
 ///
-/// If it cannot be run.
+/// If the program cannot be run.
 pub fn program(exe: &str, command: &[&str], config: &str) -> std::process::Output {
     let folder = temporary_folder();
     let file = folder.path().join("config.json");
@@ -142,17 +142,17 @@
         .unwrap_or_else(|error| panic!("{exe} can be run: {error}"))
 }
 
-/// The program under test, killed at the end of the test.
+/// A process of the program under test, killed when dropped.
 pub struct Service {
     /// The process.
     pub child: Child,
-    /// Where it takes queries.
+    /// The address on which it accepts queries.
     pub address: SocketAddr,
     folder: TempDir,
     lines: Receiver<String>,
 }
 
-/// Sends a signal, as `kill` names it, to a process.
+/// Sends a signal to a process. `name` is an option of `kill`, such as `-TERM`.
 pub(crate) fn send_signal(process: u32, name: &str) {
     let status = Command::new("kill")
         .args([name, &process.to_string()])
@@ -160,11 +160,11 @@
         .expect("kill can be run");
     assert!(
         status.success(),
-        "process {process} takes the signal {name}"
+        "signal {name} cannot be sent to process {process}"
     );
 }
 
-/// The value of a field in a log line.
+/// Returns the value of a field in a log line.
 fn field<'l>(line: &'l str, name: &str) -> Option<&'l str> {
     let (_, rest) = line.split_once(&format!("{name}="))?;
     rest.split(' ').next()
@@ -175,16 +175,16 @@
     ///
     /// # Panics
     ///
-    /// If it cannot be started, or does not serve in time.
+    /// If the process cannot be started, or does not serve in time.
     pub fn start(exe: &str, config: &Value) -> Service {
         Service::start_in(temporary_folder(), exe, config, &[])
     }
 
-    /// Starts the program in a folder with further files, with further arguments, and waits until it serves.
+    /// Starts the program in a folder that may hold further files, with further arguments, and waits until it serves.
     ///
     /// # Panics
     ///
-    /// If it cannot be started, or does not serve in time.
+    /// If the process cannot be started, or does not serve in time.
     pub fn start_in(folder: TempDir, exe: &str, config: &Value, arguments: &[&str]) -> Service {
         let file = folder.path().join("config.json");
         write_file(&file, &config.to_string());
@@ -216,25 +216,25 @@
         let line = service.wait_for_log("serving");
         service.address = field(&line, "listen")
             .and_then(|address| address.parse().ok())
-            .expect("the log has the address that was bound");
+            .expect("the log line contains the listen address");
         service
     }
 
-    /// A file in its folder.
+    /// Returns the path of a file in the process's folder.
     pub fn file(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// The next log line, if one arrives in time.
+    /// Waits for the next log line. Returns `None` if none arrives in time or the log has ended.
     pub fn next_log_line(&self) -> Option<String> {
         self.lines.recv_timeout(crate::PATIENCE).ok()
     }
 
-    /// Waits for the next log line with this text.
+    /// Waits for the next log line that contains this text.
     ///
     /// # Panics
     ///
-    /// If none arrives in time.
+    /// If no such line arrives in time.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
             let line = wait(&self.lines, text);
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Sends a signal, as `kill` names it.
+    /// Sends a signal to the process. `name` is an option of `kill`, such as `-TERM`.
     ///
     /// # Panics
     ///
@@ -253,7 +253,7 @@
         send_signal(self.child.id(), name);
     }
 
-    /// Has the program reload its configuration from a new text.
+    /// Replaces the configuration file and signals the process to reload it.
     ///
     /// # Panics
     ///
@@ -263,7 +263,7 @@
         self.signal("-HUP");
     }
 
-    /// Connects a client.
+    /// Opens a client connection.
     ///
     /// # Panics
     ///
@@ -272,7 +272,7 @@
         Client::connect(self.address)
     }
 
-    /// Sends a query on a connection of its own.
+    /// Sends a query on a new connection.
     ///
     /// # Panics
     ///
--- a/crates/linenthread-fakes/src/proxy.rs
+++ b/crates/linenthread-fakes/src/proxy.rs
@@ -1,5 +1,5 @@
-//! A proxy of one connection that can be closed after an exact byte, delayed, silenced in one direction, and led to
-//! another server.
+//! A TCP proxy that can close a connection after an exact number of bytes, delay bytes, drop them in one direction, and
+//! forward to another server.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -10,10 +10,10 @@
 use crate::loopback;
 use crate::sync::lock;
 
-/// Bytes that are read at once.
-const BUFFER: usize = 4_096;
+/// Size of the read buffer in bytes.
+const BUFFER_BYTES: usize = 4_096;
 
-/// In which direction bytes go.
+/// The direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// From the client to the server.
@@ -22,7 +22,7 @@
     FromUpstream,
 }
 
-/// Something of each direction.
+/// One value for each direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ByDirection<T> {
     /// From the client to the server.
@@ -40,34 +40,34 @@
     }
 }
 
-/// After how many bytes in one direction a connection is closed.
+/// The number of bytes in one direction after which a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ByteLimit {
     /// The direction in which bytes are counted.
     pub direction: Direction,
-    /// The bytes that are forwarded.
+    /// How many bytes are forwarded before the connection is closed.
     pub bytes: usize,
 }
 
 #[derive(Default)]
 struct State {
     upstream: Option<SocketAddr>,
-    /// Of the next connection.
-    limit: Option<ByteLimit>,
+    /// The limit of the next connection.
+    next_limit: Option<ByteLimit>,
     delay: Duration,
-    /// Bytes are read and never forwarded.
-    silent: ByDirection<bool>,
+    /// Whether bytes are read and dropped.
+    dropping: ByDirection<bool>,
     open: Vec<TcpStream>,
-    /// Bytes forwarded on the newest connection.
+    /// How many bytes were forwarded on the newest connection.
     forwarded: ByDirection<usize>,
-    /// How many connections were accepted, which numbers them.
+    /// How many connections were accepted; also the number of the newest one.
     connections: usize,
 }
 
 /// A proxy in front of a server.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -78,7 +78,7 @@
     direction: Direction,
     reader: TcpStream,
     writer: TcpStream,
-    /// The connection is closed once so many bytes have been forwarded.
+    /// The number of bytes after which the connection is closed.
     limit: Option<usize>,
 }
 
@@ -96,10 +96,10 @@
             ..State::default()
         }));
         let proxy = Proxy { address, state };
-        let accepting = proxy.clone();
+        let acceptor = proxy.clone();
         spawn(move || {
             for client in listener.incoming().map_while(Result::ok) {
-                accepting.accept(client);
+                acceptor.accept(client);
             }
         });
         proxy
@@ -118,7 +118,7 @@
         server.set_nodelay(true).ok();
         state.connections += 1;
         state.forwarded = ByDirection::default();
-        let (connection, limit) = (state.connections, state.limit.take());
+        let (connection, limit) = (state.connections, state.next_limit.take());
         for (direction, from, to) in [
             (Direction::ToUpstream, &client, &server),
             (Direction::FromUpstream, &server, &client),
@@ -142,9 +142,9 @@
         state.open.push(server);
     }
 
-    /// Copies one direction of a connection, until it ends or has reached its limit.
+    /// Copies one direction of a connection until it ends or reaches its limit.
     fn copy(&self, mut flow: Flow) {
-        let (mut buffer, mut forwarded) = ([0; BUFFER], 0);
+        let (mut buffer, mut forwarded) = ([0; BUFFER_BYTES], 0);
         while flow.limit != Some(forwarded) {
             let Ok(length @ 1..) = flow.reader.read(&mut buffer) else {
                 break;
@@ -152,12 +152,12 @@
             let length = flow
                 .limit
                 .map_or(length, |limit| length.min(limit - forwarded));
-            let (delay, silent) = {
+            let (delay, dropping) = {
                 let mut state = self.state();
-                (state.delay, *state.silent.get_mut(flow.direction))
+                (state.delay, *state.dropping.get_mut(flow.direction))
             };
             sleep(delay);
-            if silent {
+            if dropping {
                 continue;
             }
             if flow.writer.write_all(&buffer[..length]).is_err() {
@@ -173,9 +173,9 @@
         flow.writer.shutdown(Shutdown::Both).ok();
     }
 
-    /// Has the next connection close once so many bytes have been forwarded in that direction.
+    /// Closes the next connection after this many bytes have been forwarded in this direction.
     pub fn disconnect_next_after(&self, direction: Direction, bytes: usize) {
-        self.state().limit = Some(ByteLimit { direction, bytes });
+        self.state().next_limit = Some(ByteLimit { direction, bytes });
     }
 
     /// Closes all open connections.
@@ -185,22 +185,22 @@
         }
     }
 
-    /// Sets the server of connections from now on; without one, they are closed at once.
+    /// Sets the server to which new connections are forwarded. With `None`, they are closed immediately.
     pub fn set_upstream(&self, upstream: Option<SocketAddr>) {
         self.state().upstream = upstream;
     }
 
-    /// Delays all bytes from now on.
+    /// Sets the delay of all bytes that are forwarded from now on.
     pub fn set_delay(&self, delay: Duration) {
         self.state().delay = delay;
     }
 
-    /// Reads and drops all bytes in one direction; or forwards them again.
-    pub fn silence(&self, direction: Direction, silent: bool) {
-        *self.state().silent.get_mut(direction) = silent;
+    /// Sets whether bytes in one direction are read and dropped instead of forwarded.
+    pub fn silence(&self, direction: Direction, dropping: bool) {
+        *self.state().dropping.get_mut(direction) = dropping;
     }
 
-    /// Bytes forwarded on the newest connection.
+    /// Returns how many bytes were forwarded on the newest connection.
     pub fn forwarded(&self) -> ByDirection<usize> {
         self.state().forwarded
     }
--- a/crates/linenthread-fakes/src/replicas.rs
+++ b/crates/linenthread-fakes/src/replicas.rs
@@ -1,4 +1,4 @@
-//! Fake replicas that leave each response to a test, or to whoever takes their sub-requests.
+//! Fake replicas that pass each sub-request to the caller, which decides on the response.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -10,22 +10,22 @@
 use crate::loopback::{self, duplicate};
 use crate::{PATIENCE, wait};
 
-/// The type of a frame with sub-requests.
+/// The frame type of sub-requests.
 const SUB_REQUESTS: u8 = b'A';
-/// The type of a frame that cancels a sub-request.
+/// The frame type of the cancellation of a sub-request.
 const CANCEL: u8 = b'B';
-/// The type of a health check's frame.
+/// The frame type of health checks and their responses.
 const HEALTH_CHECK: u8 = b'D';
-/// The type of a response's frame.
+/// The frame type of responses to sub-requests.
 const RESPONSE: u8 = b'E';
 
-/// The response to a health check.
+/// The payload of the response to a health check.
 const HEALTHY: &str = "queue=0";
 
-/// One frame: its length, its type, and the rest.
-fn encode_frame(frame_type: u8, rest: &str) -> Vec<u8> {
-    let length = u32::try_from(rest.len() + 1).expect("a frame is short");
-    [&length.to_be_bytes()[..], &[frame_type], rest.as_bytes()].concat()
+/// Encodes a frame: the length of what follows, the type, and the payload.
+fn encode_frame(frame_type: u8, payload: &str) -> Vec<u8> {
+    let length = u32::try_from(payload.len() + 1).expect("a frame is short");
+    [&length.to_be_bytes()[..], &[frame_type], payload.as_bytes()].concat()
 }
 
 /// A sub-request that arrived at a replica.
@@ -33,9 +33,9 @@
 pub struct SubRequest {
     /// The number of the replica.
     pub replica: usize,
-    /// The number of the frame on its connection that brought it, from 1 on.
+    /// The number of the frame that contained it: frames with sub-requests are counted per connection, from 1.
     pub frame: usize,
-    /// Its id: the trace id and a suffix.
+    /// Its id: the trace id of the query with a suffix.
     pub id: String,
     /// The shard that is queried.
     pub shard: usize,
@@ -47,38 +47,45 @@
 }
 
 impl SubRequest {
-    /// Sends a frame.
+    /// Sends a frame on the connection of the sub-request.
     ///
     /// # Panics
     ///
-    /// If the connection does not take it.
-    pub fn send_frame(&self, frame_type: u8, rest: &str) {
-        let is_taken = self.send_bytes(&encode_frame(frame_type, rest));
-        assert!(is_taken, "the connection takes the frame {rest}");
+    /// If the frame cannot be written to the connection.
+    pub fn send_frame(&self, frame_type: u8, payload: &str) {
+        let is_sent = self.send_bytes(&encode_frame(frame_type, payload));
+        assert!(
+            is_sent,
+            "the frame {payload} cannot be written to the connection"
+        );
     }
 
-    /// Sends any bytes; whether the connection took them.
+    /// Sends raw bytes, and reports whether they could be written to the connection.
     pub fn send_bytes(&self, bytes: &[u8]) -> bool {
         (&self.connection).write_all(bytes).is_ok()
     }
 
-    /// Sends a response with a status (`hit`, `fault`, `overload`); whether the connection took it.
+    /// Sends a response with a status (`hit`, `fault`, `overload`), and reports whether it could be written to the
+    /// connection.
     pub fn try_respond(&self, status: &str, value: &str) -> bool {
         let response = format!("{} {status} 17 queue=0\n{value}", self.id);
         self.send_bytes(&encode_frame(RESPONSE, &response))
     }
 
-    /// Sends a response with a value.
+    /// Sends a successful response with a value.
     ///
     /// # Panics
     ///
-    /// If the connection does not take it.
+    /// If the response cannot be written to the connection.
     pub fn respond(&self, value: &str) {
-        let is_taken = self.try_respond("hit", value);
-        assert!(is_taken, "the connection takes the response {value}");
+        let is_sent = self.try_respond("hit", value);
+        assert!(
+            is_sent,
+            "the response {value} cannot be written to the connection"
+        );
     }
 
-    /// The other end of the connection.
+    /// Returns the address of the other end of the connection.
     ///
     /// # Panics
     ///
@@ -87,7 +94,8 @@
         self.connection.peer_addr().expect("the connection is open")
     }
 
-    /// Waits for the other side to close the connection; whether it did so in time and without more bytes.
+    /// Waits for the other side to close the connection, and reports whether it did so in time and without sending
+    /// more bytes.
     ///
     /// # Panics
     ///
@@ -103,7 +111,7 @@
     ///
     /// # Panics
     ///
-    /// If it has ended.
+    /// If the connection has ended.
     pub fn disconnect(&self) {
         self.connection
             .shutdown(Shutdown::Both)
@@ -116,17 +124,18 @@
     Cancelled(String),
 }
 
-/// Replicas that leave each response to the test; health checks are answered at once.
+/// Fake replicas that pass each sub-request to the caller. They answer health checks themselves.
 pub struct FakeReplicas {
-    /// Where the replicas listen, by number.
+    /// The addresses of the replicas, by number.
     pub addresses: Vec<SocketAddr>,
-    /// So many connections that have been used close at the next byte that arrives on them.
+    /// How many connections are still to be closed on reuse: a connection that has already carried sub-requests is
+    /// closed when the next byte arrives on it.
     pub closing_on_reuse: Arc<AtomicUsize>,
     events: Receiver<Event>,
 }
 
 impl FakeReplicas {
-    /// Starts so many replicas.
+    /// Starts this number of replicas.
     ///
     /// # Panics
     ///
@@ -144,31 +153,32 @@
         }
     }
 
-    /// The next sub-request.
+    /// Waits for the next sub-request.
     ///
     /// # Panics
     ///
-    /// If none arrives in time, or a cancellation does.
+    /// If none arrives in time, or a cancellation arrives instead.
     pub fn sub_request(&self) -> SubRequest {
-        match wait(&self.events, "a part") {
+        match wait(&self.events, "a sub-request") {
             Event::Received(sub_request) => sub_request,
-            Event::Cancelled(id) => panic!("{id} is given up"),
+            Event::Cancelled(id) => panic!("sub-request {id} was cancelled"),
         }
     }
 
-    /// The id of the next cancelled sub-request.
+    /// Waits for the next cancellation, and returns the id of the cancelled sub-request.
     ///
     /// # Panics
     ///
-    /// If none arrives in time, or a new sub-request does.
+    /// If none arrives in time, or a new sub-request arrives instead.
     pub fn cancelled(&self) -> String {
-        match wait(&self.events, "a part given up") {
+        match wait(&self.events, "a cancellation") {
             Event::Cancelled(id) => id,
-            Event::Received(sub_request) => panic!("{} is sent", sub_request.id),
+            Event::Received(sub_request) => panic!("sub-request {} was received", sub_request.id),
         }
     }
 
-    /// The next sub-request, however long it takes; cancellations are ignored.
+    /// Waits for the next sub-request without a time limit, and ignores cancellations. Returns `None` if no replica runs
+    /// any more.
     pub fn wait_for_sub_request(&self) -> Option<SubRequest> {
         self.events.iter().find_map(|event| match event {
             Event::Received(sub_request) => Some(sub_request),
@@ -176,17 +186,18 @@
         })
     }
 
-    /// What else has arrived: ids of sub-requests, and of cancelled ones with ` given up` behind them.
+    /// Returns the ids of all sub-requests and cancellations received and not yet read, the latter with the suffix
+    /// ` cancelled`.
     pub fn remaining(&self) -> Vec<String> {
         let describe = |event| match event {
             Event::Received(sub_request) => sub_request.id,
-            Event::Cancelled(id) => format!("{id} given up"),
+            Event::Cancelled(id) => format!("{id} cancelled"),
         };
         self.events.try_iter().map(describe).collect()
     }
 }
 
-/// Starts a replica; where it listens.
+/// Starts a replica and returns its address.
 fn listen(
     replica: usize,
     event_sender: &Sender<Event>,
@@ -210,16 +221,16 @@
     address
 }
 
-/// The sub-requests of one frame: id, shard, index and text of each.
-fn split_sub_requests(mut rest: &str) -> Vec<[&str; 4]> {
+/// Splits the payload of a frame into its sub-requests: the id, shard, index and text of each.
+fn split_sub_requests(mut payload: &str) -> Vec<[&str; 4]> {
     let mut sub_requests = Vec::new();
-    while let Some((head, tail)) = rest.split_once('\n') {
+    while let Some((head, tail)) = payload.split_once('\n') {
         let [id, shard, index, length] = head.split(' ').collect::<Vec<_>>()[..] else {
-            panic!("not the head of a sub-request: {head}")
+            panic!("malformed head of a sub-request: {head}")
         };
         let (text, next) = tail.split_at(length.parse().expect("a length is a number"));
         sub_requests.push([id, shard, index, text]);
-        rest = next;
+        payload = next;
     }
     sub_requests
 }
@@ -229,47 +240,47 @@
     replica: usize,
     stream: TcpStream,
     event_sender: Sender<Event>,
-    /// Frames with sub-requests that have arrived.
+    /// How many frames with sub-requests have arrived.
     frames: usize,
 }
 
 impl Connection {
-    /// Serves until either side closes the connection, or nobody takes events any more.
+    /// Serves the connection until either side closes it, or the receiver of events has been dropped.
     fn serve(&mut self, closing_on_reuse: &AtomicUsize) {
         loop {
-            if self.is_to_close(closing_on_reuse) {
+            if self.closes_on_reuse(closing_on_reuse) {
                 self.stream.shutdown(Shutdown::Both).ok();
                 return;
             }
-            let Some((frame_type, rest)) = self.read_frame() else {
+            let Some((frame_type, payload)) = self.read_frame() else {
                 return;
             };
-            let is_taken = match frame_type {
-                SUB_REQUESTS => self.receive(&rest),
-                CANCEL => self.event_sender.send(Event::Cancelled(rest)).is_ok(),
+            let has_receiver = match frame_type {
+                SUB_REQUESTS => self.receive(&payload),
+                CANCEL => self.event_sender.send(Event::Cancelled(payload)).is_ok(),
                 HEALTH_CHECK => {
                     let response = encode_frame(HEALTH_CHECK, HEALTHY);
                     self.stream
                         .write_all(&response)
-                        .expect("the connection takes the answer to a health check");
+                        .expect("the response to a health check can be written to the connection");
                     true
                 }
-                other => panic!("a frame with the letter {other}"),
+                other => panic!("unknown frame type {other}"),
             };
-            if !is_taken {
+            if !has_receiver {
                 return;
             }
         }
     }
 
-    /// Waits for a byte; whether the connection is one of those that close on reuse.
-    fn is_to_close(&self, closing_on_reuse: &AtomicUsize) -> bool {
+    /// Waits for a byte, and reports whether the connection is to be closed on reuse.
+    fn closes_on_reuse(&self, closing_on_reuse: &AtomicUsize) -> bool {
         let has_arrived = self.stream.peek(&mut [0]).is_ok_and(|bytes| bytes > 0);
-        let take_one = |left: usize| left.checked_sub(1);
+        let decrement = |left: usize| left.checked_sub(1);
         has_arrived
             && self.frames > 0
             && closing_on_reuse
-                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, take_one)
+                .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement)
                 .is_ok()
     }
 
@@ -278,18 +289,18 @@
         self.stream.read_exact(&mut head).ok()?;
         let [length @ .., frame_type] = head;
         let length = usize::try_from(u32::from_be_bytes(length)).ok()?;
-        let mut rest = vec![0; length - 1];
-        self.stream.read_exact(&mut rest).ok()?;
+        let mut payload = vec![0; length - 1];
+        self.stream.read_exact(&mut payload).ok()?;
         Some((
             frame_type,
-            String::from_utf8(rest).expect("a frame is a text"),
+            String::from_utf8(payload).expect("a frame is UTF-8"),
         ))
     }
 
-    /// Passes the sub-requests of a frame on; whether somebody takes them.
-    fn receive(&mut self, rest: &str) -> bool {
+    /// Passes the sub-requests of a frame to the receiver of events, and reports whether it still exists.
+    fn receive(&mut self, payload: &str) -> bool {
         self.frames += 1;
-        split_sub_requests(rest).into_iter().all(|fields| {
+        split_sub_requests(payload).into_iter().all(|fields| {
             let [id, shard, index, text] = fields.map(str::to_owned);
             let sub_request = SubRequest {
                 replica: self.replica,
--- a/crates/linenthread-fakes/src/row_replicas.rs
+++ b/crates/linenthread-fakes/src/row_replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas that respond from a row store, with faults on cue.
+//! Replicas that respond from a row store, and inject faults on demand.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,23 +11,23 @@
 
 /// A frame of an unknown type.
 const MALFORMED_FRAME: &[u8] = b"\0\0\0\x02Zz";
-/// A value that is none of any index.
+/// A value that is malformed for every index.
 const UNREADABLE_VALUE: &str = "{\"rows\":[7],\"totals\":[]}";
 
 /// What a replica does with a sub-request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Behavior {
-    /// It responds.
+    /// It responds correctly.
     Respond,
-    /// It responds twice, the second time with another text.
+    /// It responds twice, the second time with a different value.
     RespondTwice,
-    /// It responds with a text that is no value of the index.
+    /// It responds with a value that is malformed for the index.
     UnreadableValue,
     /// It sends a malformed frame.
     MalformedFrame,
-    /// It responds that it failed.
+    /// It responds with the status `fault`.
     Fault,
-    /// It responds that it is overloaded.
+    /// It responds with the status `overload`.
     Overload,
     /// It closes the connection.
     Disconnect,
@@ -35,17 +35,17 @@
     NoResponse,
 }
 
-/// How a replica treats one sub-request.
+/// How and when a replica handles one sub-request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Treatment {
-    /// After how long it does something.
+    /// The delay before it acts.
     pub delay: Duration,
     /// What it does.
     pub behavior: Behavior,
 }
 
 impl Treatment {
-    /// It behaves so without delay.
+    /// Returns this behavior without delay.
     pub fn at_once(behavior: Behavior) -> Treatment {
         Treatment {
             delay: Duration::ZERO,
@@ -54,16 +54,17 @@
     }
 }
 
-/// Replicas over one row store.
+/// Replicas that share one row store.
 pub struct RowReplicas {
-    /// Where the replicas listen, by number.
+    /// The addresses of the replicas, by number.
     pub addresses: Vec<SocketAddr>,
     /// The rows, which may change while the replicas run.
     pub store: Arc<Mutex<RowStore>>,
 }
 
 impl RowReplicas {
-    /// Starts so many replicas; `cue` decides how each sub-request is treated.
+    /// Starts this number of replicas. `treatment` decides how each sub-request is handled; a page has at most `max_rows`
+    /// rows.
     ///
     /// # Panics
     ///
@@ -72,7 +73,7 @@
         count: usize,
         store: RowStore,
         max_rows: usize,
-        mut cue: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
+        mut treatment: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
     ) -> RowReplicas {
         let replicas = FakeReplicas::start(count);
         let addresses = replicas.addresses.clone();
@@ -80,13 +81,13 @@
         let shared = store.clone();
         spawn(move || {
             while let Some(sub_request) = replicas.wait_for_sub_request() {
-                let Treatment { delay, behavior } = cue(&sub_request);
+                let Treatment { delay, behavior } = treatment(&sub_request);
                 let store = shared.clone();
                 spawn(move || {
                     sleep(delay);
                     let SubRequest { shard, text, .. } = &sub_request;
                     let value = lock(&store).respond(*shard, text, max_rows);
-                    behave(&sub_request, &behavior, &value);
+                    apply_behavior(&sub_request, &behavior, &value);
                 });
             }
         });
@@ -94,8 +95,9 @@
     }
 }
 
-/// Treats a sub-request. That the other side may have closed the connection by now is part of the tests.
-fn behave(sub_request: &SubRequest, behavior: &Behavior, value: &str) {
+/// Handles a sub-request. Failed writes are ignored, since in some tests the other side has closed the connection by
+/// then.
+fn apply_behavior(sub_request: &SubRequest, behavior: &Behavior, value: &str) {
     match behavior {
         Behavior::Respond => {
             sub_request.try_respond("hit", value);
--- a/crates/linenthread-fakes/src/row_store.rs
+++ b/crates/linenthread-fakes/src/row_store.rs
@@ -1,8 +1,8 @@
-//! Rows by shard, and replicas that respond to merged indexes from them, with faults on cue.
+//! The rows of each shard, and the values with which replicas respond to queries on merged indexes.
 //!
-//! The query `pledges` asks a shard for totals of `amount`, `charities` for those by charity, and a query
-//! `{"query":..,"rows":N,"after":..}` for its donations: latest first, then the largest, then by id.
-//! What a complete response must contain is computed here from the full data, in the plainest way there is.
+//! The query `pledges` returns totals of `amount`, `charities` returns totals for each charity, and a query
+//! `{"query":..,"rows":N,"after":..}` returns donations: the latest first, then the largest, then by id.
+//! The expected contents of a complete response are computed from the full data by the simplest algorithm.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 
 use crate::random::random_index;
 
-/// The deploy file for these indexes, with cursors signed by `marks.key`.
+/// The deploy file for these indexes. Cursors are signed with the key in `marks.key`.
 pub const INSTALLATION: &str = r#"<installation version="1">
   <merging>
     <marks life="900" secret="marks.key"/>
@@ -31,20 +31,20 @@
 </installation>
 "#;
 
-/// A row.
+/// A row of the data.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Donation {
     /// Its unique id.
     pub id: String,
     /// Its date, as `YYYY-MM-DD`.
     pub date: String,
-    /// Its amount in hundredths.
+    /// Its amount in hundredths of the currency unit.
     pub cents: i64,
-    /// To whom it goes.
+    /// The charity that receives it.
     pub charity: String,
 }
 
-/// What rows are sorted by: the latest comes first, then the largest, then the first by id.
+/// The sort key of rows: the latest date first, then the largest amount, then the id in ascending order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SortKey {
     /// The date.
@@ -60,12 +60,12 @@
 }
 
 impl Donation {
-    /// The row as replicas and responses give it.
+    /// Returns the row as JSON, in the form used by replicas and merged responses.
     pub fn row(&self) -> Value {
         json!({"id": self.id, "date": self.date, "amount": money(self.cents), "charity": self.charity})
     }
 
-    /// What rows are sorted by: the least comes first.
+    /// Returns the sort key; rows are in ascending order of it.
     pub fn sort_key(&self) -> SortKey {
         SortKey {
             date: Reverse(self.date.clone()),
@@ -75,7 +75,7 @@
     }
 }
 
-/// All rows, by shard.
+/// The rows of all shards.
 #[derive(Clone, Debug, Default)]
 pub struct RowStore {
     /// The rows of each shard, sorted by [`Donation::sort_key`].
@@ -83,34 +83,34 @@
     last_id: u64,
 }
 
-/// The true sum and count over some rows.
+/// The true sum and count of a set of rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SumAndCount {
     /// The sum in hundredths.
     pub sum: i64,
-    /// How many rows there are.
+    /// The number of rows.
     pub count: usize,
 }
 
-/// The true totals over some shards.
+/// The true totals of a set of shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Totals {
     /// The sum and the count.
     pub sum_and_count: SumAndCount,
-    /// The least amount in hundredths; `None` without rows.
+    /// The smallest amount in hundredths; `None` without rows.
     pub min: Option<i64>,
     /// The largest amount in hundredths; `None` without rows.
     pub max: Option<i64>,
 }
 
-/// Totals of rows, as a replica gives them.
+/// Returns the totals of rows, as a replica responds them.
 fn totals(rows: &[&Donation]) -> Value {
     let cents = || rows.iter().map(|row| row.cents);
     json!({"amount": {"count": rows.len(), "sum": money(cents().sum()),
                       "least": cents().min().map(money), "most": cents().max().map(money)}})
 }
 
-/// The sort key in a cursor, as a sub-request gives it.
+/// Parses the sort key after which a page starts, from the field `after` of a sub-request.
 fn cursor_key(after: &[Value]) -> SortKey {
     let text = |at: usize| after[at].as_str().unwrap_or_default().to_owned();
     let cents: i64 = text(1).replace('.', "").parse().unwrap_or_default();
@@ -121,20 +121,20 @@
     }
 }
 
-/// A page of rows.
+/// Returns the next page of rows for a query, with at most `max_rows` rows.
 fn page(rows: &[Donation], query: &Value, max_rows: usize) -> Value {
     let after = query["after"].as_array().map(|after| cursor_key(after));
-    let ahead: Vec<_> = rows
+    let remaining: Vec<_> = rows
         .iter()
         .filter(|row| after.as_ref().is_none_or(|after| row.sort_key() > *after))
         .collect();
-    let queried = query["rows"].as_u64().unwrap_or(0);
-    let limit = usize::try_from(queried).map_or(max_rows, |rows| rows.min(max_rows));
-    let page: Vec<_> = ahead.iter().take(limit).map(|row| row.row()).collect();
-    json!({"rows": page, "more": ahead.len() > limit})
+    let requested = query["rows"].as_u64().unwrap_or(0);
+    let limit = usize::try_from(requested).map_or(max_rows, |rows| rows.min(max_rows));
+    let page: Vec<_> = remaining.iter().take(limit).map(|row| row.row()).collect();
+    json!({"rows": page, "more": remaining.len() > limit})
 }
 
-/// Totals by charity.
+/// Returns the totals of each charity.
 fn groups(rows: &[Donation]) -> Value {
     let mut by_charity: BTreeMap<&str, Vec<&Donation>> = BTreeMap::new();
     for row in rows {
@@ -148,7 +148,8 @@
 }
 
 impl RowStore {
-    /// So many shards with up to so many rows each; dates and amounts often coincide.
+    /// Creates this number of shards with at most `max_rows` random rows each. The ranges of dates and amounts are small,
+    /// so that equal ones are common.
     pub fn new(rng: &mut Rand64, shards: usize, max_rows: u64) -> RowStore {
         let mut store = RowStore {
             shards: vec![Vec::new(); shards],
@@ -182,7 +183,7 @@
         donation
     }
 
-    /// The value with which a replica responds to a sub-request's text, with at most so many rows.
+    /// Returns the value with which a replica responds to the text of a sub-request. A page has at most `max_rows` rows.
     pub fn respond(&self, shard: usize, text: &str, max_rows: usize) -> String {
         let rows = &self.shards[shard];
         let value = match serde_json::from_str::<Value>(text) {
@@ -197,7 +198,7 @@
         shards.iter().flat_map(|&shard| &self.shards[shard])
     }
 
-    /// The totals over some shards, from the full data.
+    /// Returns the totals of some shards, computed from the full data.
     pub fn true_totals(&self, shards: &[usize]) -> Totals {
         let cents: Vec<i64> = self.rows(shards).map(|row| row.cents).collect();
         Totals {
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Sum and count by charity over some shards, from the full data.
+    /// Returns the sum and count for each charity in some shards, computed from the full data.
     pub fn true_groups(&self, shards: &[usize]) -> BTreeMap<String, SumAndCount> {
         let mut groups: BTreeMap<String, SumAndCount> = BTreeMap::new();
         for row in self.rows(shards) {
--- a/crates/linenthread-fakes/src/service_discovery.rs
+++ b/crates/linenthread-fakes/src/service_discovery.rs
@@ -1,4 +1,5 @@
-//! A fake of service discovery: it gives its full membership when asked, and leaves each watch to the test.
+//! A fake of service discovery. It responds to requests for the full membership, and leaves each watch pending until the
+//! test answers it.
 
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
@@ -11,15 +12,16 @@
 use crate::loopback::{self, duplicate};
 use crate::{PATIENCE, wait};
 
-/// Service discovery that gives its full membership when asked, and leaves each watch to the test.
+/// A service discovery server. It responds to requests for the full membership, and leaves each watch pending until the
+/// test answers it.
 pub struct ServiceDiscovery {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     watches: Receiver<TcpStream>,
 }
 
 impl ServiceDiscovery {
-    /// Starts with a membership, as [`membership`] makes it.
+    /// Starts a server with a full membership such as [`membership`] returns.
     ///
     /// # Panics
     ///
@@ -38,7 +40,8 @@
         ServiceDiscovery { address, watches }
     }
 
-    /// Waits for a watch, and then for the other side to close it; whether it was closed without more bytes.
+    /// Waits for a watch and for the other side to close its connection. Reports whether that happened in time and
+    /// without more bytes.
     ///
     /// # Panics
     ///
@@ -51,11 +54,11 @@
         connection.peek(&mut [0]).is_ok_and(|bytes| bytes == 0)
     }
 
-    /// Answers the pending watch, or the next.
+    /// Answers the oldest pending watch, or the next one to arrive.
     ///
     /// # Panics
     ///
-    /// If no watch arrives in time, or its connection does not take the answer.
+    /// If no watch arrives in time, or the answer cannot be written to its connection.
     pub fn answer_watch(&self, body: &str) {
         write_response(&wait(&self.watches, "a watch"), body);
     }
@@ -72,13 +75,13 @@
     }
 }
 
-/// A replica as service discovery describes it.
+/// Returns the entry of a replica in a membership.
 pub fn member(id: usize, address: SocketAddr, phase: &str) -> Value {
     json!({"id": format!("s-{id}"), "host_port": address.to_string(), "locality": "a", "flavor": "m",
            "cell": id, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// A membership at a revision: the full one, or what has changed.
+/// Returns a membership at a revision: the full one, or only the members that have changed.
 pub fn membership(revision: u64, full: bool, members: Vec<Value>) -> String {
     json!({"revision": revision, "complete": full, "members": Value::Array(members)}).to_string()
 }
--- a/crates/linenthread-fakes/src/sync.rs
+++ b/crates/linenthread-fakes/src/sync.rs
@@ -1,4 +1,4 @@
-//! Locks of state that threads of the fakes share.
+//! Locking of state that is shared between threads of the fakes.
 
 use std::sync::{Mutex, MutexGuard};
 
@@ -6,7 +6,7 @@
 ///
 /// # Panics
 ///
-/// If a thread has panicked while it held the lock: what it left behind proves nothing, and the test fails.
+/// If a thread has panicked while it held the lock: the state may be inconsistent, so the test must fail.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
