--- a/crates/linenthread-fakes/src/platform.rs
+++ b/crates/linenthread-fakes/src/platform.rs
@@ -1,9 +1,9 @@
-//! A fake of the platform that usage is reported to: it checks what the holders of the duty send, and is slow, silent
-//! or down on cue.
+//! A fake of the platform that receives usage reports. It checks the calls of the lease holders, and can be made slow,
+//! unresponsive or unavailable.
 //!
-//! [`PlatformJudge`] has the rules, without sockets; [`FakePlatform`] serves calls by them.
+//! [`CallValidator`] implements the rules without sockets; [`FakePlatform`] applies them to calls over HTTP.
 
-mod judge;
+mod call_validator;
 mod log;
 
 use std::io::{self, BufReader, ErrorKind, Read, Write};
@@ -12,7 +12,7 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, SystemTime};
 
-pub use judge::{CallResponse, PlatformJudge, PlatformRules, ReceivedCall};
+pub use call_validator::{CallResponse, CallValidator, PlatformRules, ReceivedCall};
 pub use log::{AcceptedReport, ConnectionEnd, PlatformLog, PlatformViolation};
 
 use crate::PATIENCE;
@@ -23,42 +23,42 @@
 /// The request line of a usage report.
 const REPORT_LINE: &str = "POST /accounting HTTP/1.1";
 
-/// What a platform does with calls.
+/// How a platform handles calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformMode {
-    /// It takes calls and responds at once.
+    /// It processes calls and responds immediately.
     Healthy,
-    /// It takes calls at once, and responds so much later.
+    /// It processes calls immediately, and responds after this delay.
     Slow(Duration),
-    /// It takes calls, and no response ever comes.
+    /// It processes calls, and never responds.
     ResponseLost,
-    /// It takes no calls, and no response ever comes.
+    /// It processes no calls, and never responds.
     Silent,
-    /// It takes no calls, and says that it is overloaded: 503.
+    /// It processes no calls, and responds with status 503 (overloaded).
     Busy,
-    /// It resets each connection on which something arrives.
+    /// It resets each new connection when the first byte arrives.
     Reset,
-    /// Nothing listens at its address.
+    /// Nothing listens on its address.
     Down,
 }
 
-/// A running platform.
+/// A fake platform that listens on loopback.
 pub struct FakePlatform {
-    /// Where it listens, also after it was down.
+    /// The address on which it listens. It stays the same when the platform was down and is started again.
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    /// Accepts connections; there is none while the platform is down.
+    /// The thread that accepts connections; `None` while the platform is down.
     acceptor: Mutex<Option<JoinHandle<()>>>,
 }
 
 struct Shared {
     state: Mutex<State>,
-    /// Something was added to the log.
+    /// Notified whenever the log has changed.
     changed: Condvar,
 }
 
 struct State {
-    judge: PlatformJudge,
+    validator: CallValidator,
     mode: PlatformMode,
 }
 
@@ -73,7 +73,7 @@
         let address = address_of(&listener);
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
-                judge: PlatformJudge::new(rules),
+                validator: CallValidator::new(rules),
                 mode: PlatformMode::Healthy,
             }),
             changed: Condvar::new(),
@@ -86,17 +86,17 @@
         }
     }
 
-    /// Changes what becomes of calls from now on; those that were received before go on as they began.
+    /// Sets how calls are handled from now on. Calls that were received before are completed in the previous mode.
     ///
     /// # Panics
     ///
-    /// If the address is taken by another program when the platform comes up again.
+    /// If another program uses the address when the platform is started again.
     pub fn set_mode(&self, mode: PlatformMode) {
         lock(&self.shared.state).mode = mode;
         let mut acceptor = lock(&self.acceptor);
         match (mode, acceptor.take()) {
             (PlatformMode::Down, Some(thread)) => {
-                // Wakes the thread, which sees the mode and ends.
+                // Wakes the acceptor thread, which then sees the mode and returns.
                 let _ = TcpStream::connect(self.address);
                 let _ = thread.join();
             }
@@ -106,12 +106,12 @@
         }
     }
 
-    /// All that was seen so far.
+    /// Returns a copy of the log of everything received so far.
     pub fn log(&self) -> PlatformLog {
-        lock(&self.shared.state).judge.log().clone()
+        lock(&self.shared.state).validator.log().clone()
     }
 
-    /// Waits until the log is as expected; false when the time is over.
+    /// Waits until the log is as expected. Returns false if it is not within `timeout`.
     ///
     /// # Panics
     ///
@@ -122,20 +122,20 @@
         is_expected: impl Fn(&PlatformLog) -> bool,
     ) -> bool {
         let state = lock(&self.shared.state);
-        let is_missing = |state: &mut State| !is_expected(state.judge.log());
+        let is_unexpected = |state: &mut State| !is_expected(state.validator.log());
         let waited = self
             .shared
             .changed
-            .wait_timeout_while(state, timeout, is_missing);
+            .wait_timeout_while(state, timeout, is_unexpected);
         let (state, _) = waited.expect("no thread has panicked while it held the lock");
-        is_expected(state.judge.log())
+        is_expected(state.validator.log())
     }
 }
 
-/// The acceptor ends, and the port is free.
+/// Stops the acceptor and frees the port.
 impl Drop for FakePlatform {
     fn drop(&mut self) {
-        // The locks may be poisoned in a test that fails.
+        // In a failing test, the locks may be poisoned.
         if !std::thread::panicking() {
             self.set_mode(PlatformMode::Down);
         }
@@ -159,14 +159,15 @@
     })
 }
 
-/// What becomes of a request.
+/// How a request is handled.
 enum Treatment {
+    /// Respond with this status after this delay.
     Respond(u16, Duration),
     Ignore,
 }
 
 impl Shared {
-    /// Serves one connection until its other side ends it.
+    /// Serves one connection until the caller ends it.
     fn serve(&self, connection: &TcpStream) {
         if self.mode() == PlatformMode::Reset {
             reset_at_first_byte(connection);
@@ -180,13 +181,13 @@
                     respond(connection, status);
                 }
                 Treatment::Ignore => {
-                    // How it ends is noted by the stream.
+                    // `CallerStream` records how the connection ends.
                     let _ = io::copy(&mut reader, &mut io::sink());
                 }
             }
         }
         if let Some(end) = reader.get_ref().end {
-            lock(&self.state).judge.add_connection_end(end);
+            lock(&self.state).validator.add_connection_end(end);
             self.changed.notify_all();
         }
     }
@@ -197,7 +198,7 @@
 
     fn handle(&self, message: &Message) -> Treatment {
         let mut state = lock(&self.state);
-        state.judge.count_received();
+        state.validator.count_received();
         let treatment = state.handle(message);
         self.changed.notify_all();
         treatment
@@ -209,27 +210,27 @@
         let call = match parse_call(message) {
             Ok(call) => call,
             Err(reason) => {
-                let response = self.judge.reject(reason);
+                let response = self.validator.reject(reason);
                 return Treatment::Respond(status_of(response), Duration::ZERO);
             }
         };
         match self.mode {
             PlatformMode::Healthy => {
-                Treatment::Respond(status_of(self.judge.take(&call)), Duration::ZERO)
+                Treatment::Respond(status_of(self.validator.handle(&call)), Duration::ZERO)
             }
             PlatformMode::Slow(delay) => {
-                Treatment::Respond(status_of(self.judge.take(&call)), delay)
+                Treatment::Respond(status_of(self.validator.handle(&call)), delay)
             }
             PlatformMode::ResponseLost => {
-                self.judge.take(&call);
+                self.validator.handle(&call);
                 Treatment::Ignore
             }
             PlatformMode::Busy => {
-                self.judge.observe(&call);
+                self.validator.observe(&call);
                 Treatment::Respond(503, Duration::ZERO)
             }
             PlatformMode::Silent | PlatformMode::Reset | PlatformMode::Down => {
-                self.judge.observe(&call);
+                self.validator.observe(&call);
                 Treatment::Ignore
             }
         }
@@ -245,13 +246,13 @@
     }
 }
 
-/// Reads a call off a request.
+/// Parses a call, or returns why the request is invalid.
 fn parse_call(message: &Message) -> Result<ReceivedCall, &'static str> {
     if message.start_line != REPORT_LINE {
-        return Err("another method, path or version");
+        return Err("the request line is not POST /accounting HTTP/1.1");
     }
     if header(message, "content-type") != Some("application/json") {
-        return Err("the body is not said to be JSON");
+        return Err("Content-Type is not application/json");
     }
     let owner = header(message, "x-task-owner").ok_or("X-Task-Owner is missing")?;
     let fence = header(message, "x-fence-token").ok_or("X-Fence-Token is missing")?;
@@ -267,7 +268,7 @@
     })
 }
 
-/// The value of a header, in lower case; `None` if it is missing or occurs twice.
+/// Returns the value of a header, in lower case, or `None` if the header is missing or repeated.
 fn header<'a>(message: &'a Message, name: &str) -> Option<&'a str> {
     let mut values = message
         .headers
@@ -280,17 +281,17 @@
 
 fn respond(mut connection: &TcpStream, status: u16) {
     let response = format!("HTTP/1.1 {status} -\r\nContent-Length: 0\r\n\r\n");
-    // A caller that has gone needs no response.
+    // The caller may have closed the connection.
     let _ = connection.write_all(response.as_bytes());
 }
 
-/// Resets the connection once something has arrived on it: a socket that is closed with unread bytes does so.
+/// Waits for the first byte and leaves it unread: the system resets a connection that is closed with unread bytes.
 fn reset_at_first_byte(connection: &TcpStream) {
     let _ = connection.set_read_timeout(Some(PATIENCE));
     let _ = connection.peek(&mut [0]);
 }
 
-/// What a caller sends, and how it has ended the connection.
+/// Reads what a caller sends, and records how the caller ended the connection.
 struct CallerStream<'a> {
     connection: &'a TcpStream,
     end: Option<ConnectionEnd>,
@@ -298,7 +299,7 @@
 
 impl CallerStream<'_> {
     fn new(connection: &TcpStream) -> CallerStream<'_> {
-        // Without a time-out the thread would at worst last as long as the connection.
+        // Without a time-out, the thread could run for as long as the caller keeps the connection open.
         let _ = connection.set_read_timeout(Some(PATIENCE));
         CallerStream {
             connection,
--- a/crates/linenthread-fakes/src/platform/judge.rs
+++ b/crates/linenthread-fakes/src/platform/call_validator.rs
@@ -1,4 +1,4 @@
-//! The rules of calls at the platform, without any socket or clock: which status a call gets, and which rule it breaks.
+//! The platform's rules for calls, without sockets or clocks: the response to each call, and the rules that it violates.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -8,106 +8,107 @@
 
 use super::log::{AcceptedReport, ConnectionEnd, PlatformLog, PlatformViolation};
 
-/// Calls with a refused fence, later than a lease after the refusal, of which the next one breaks the rule.
+/// How many calls with a refused fencing token are allowed more than a lease after its first refusal.
 const MAX_CALLS_AFTER_REFUSAL: usize = 3;
 
-/// The bounds that a platform goes by.
+/// The limits that a platform enforces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlatformRules {
-    /// Calls a second that it takes.
+    /// The maximum rate of calls, per second.
     pub calls_per_second: f64,
-    /// Holders that act in the order A, B, A within this time break a rule.
+    /// The duration of a lease. Calls of holders in the order A, B, A within this time violate a rule.
     pub lease: Duration,
-    /// How long each window lasts.
+    /// The length of a reporting window.
     pub report_window: Duration,
 }
 
-/// One call, as it was received.
+/// A received call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedCall {
-    /// The holder that sent it, in lower case.
+    /// The lease holder that sent it, in lower case.
     pub owner: String,
-    /// The fencing token that it bears.
+    /// Its fencing token.
     pub fence: u64,
     /// Its body.
     pub body: String,
-    /// When it arrived, since the start of 1970.
+    /// When it arrived, as the time since the Unix epoch.
     pub at: Duration,
 }
 
-/// What a platform responds.
+/// The response to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResponse {
-    /// 200: the report is taken, now or before.
+    /// 200: the report is accepted, or repeats one that was accepted.
     Accepted,
-    /// 400: it is no call.
+    /// 400: the call is malformed.
     Invalid,
-    /// 409: a higher fence was seen.
+    /// 409: a higher fencing token was received before.
     FenceTooLow,
-    /// 429: there were too many calls.
+    /// 429: the rate of calls is too high.
     TooMany,
 }
 
-/// A call that a holder made by a fence that was not too low.
+/// A call with a fencing token that was not too low.
 #[derive(Debug)]
-struct Act {
+struct HolderCall {
     owner: String,
     at: Duration,
 }
 
-/// Calls with one fence of one holder since it was refused.
+/// The refusals of one fencing token of one holder.
 #[derive(Debug)]
 struct Refusal {
     first_at: Duration,
+    /// Calls more than a lease after the first refusal.
     late_calls: usize,
 }
 
-/// Decides on the calls at one platform, in the order in which they arrive.
+/// Validates the calls to one platform, in the order in which they arrive.
 #[derive(Debug)]
-pub struct PlatformJudge {
+pub struct CallValidator {
     rules: PlatformRules,
-    /// Calls that may be made at once.
-    call_allowance: f64,
-    call_allowance_at: Option<Duration>,
+    /// Tokens of the token bucket that limits the rate of calls.
+    rate_tokens: f64,
+    rate_tokens_updated_at: Option<Duration>,
     greatest_fence: u64,
-    /// Who sent each fence first.
-    holders: BTreeMap<u64, String>,
-    acts: Vec<Act>,
+    /// The holder that sent each fencing token first.
+    owner_by_fence: BTreeMap<u64, String>,
+    recent_calls: Vec<HolderCall>,
     refusals: BTreeMap<(String, u64), Refusal>,
     log: PlatformLog,
 }
 
-impl PlatformJudge {
-    /// A platform that has seen no call.
-    pub fn new(rules: PlatformRules) -> PlatformJudge {
-        PlatformJudge {
+impl CallValidator {
+    /// Returns a validator that has received no call.
+    pub fn new(rules: PlatformRules) -> CallValidator {
+        CallValidator {
             rules,
-            call_allowance: rules.calls_per_second.max(1.0),
-            call_allowance_at: None,
+            rate_tokens: rules.calls_per_second.max(1.0),
+            rate_tokens_updated_at: None,
             greatest_fence: 0,
-            holders: BTreeMap::new(),
-            acts: Vec::new(),
+            owner_by_fence: BTreeMap::new(),
+            recent_calls: Vec::new(),
             refusals: BTreeMap::new(),
             log: PlatformLog::default(),
         }
     }
 
-    /// What was seen so far.
+    /// Returns the log of everything received so far.
     pub fn log(&self) -> &PlatformLog {
         &self.log
     }
 
-    /// Counts a complete request, whatever becomes of it.
+    /// Counts a complete request, valid or not.
     pub fn count_received(&mut self) {
         self.log.received += 1;
     }
 
-    /// Notes how the caller has ended a connection.
+    /// Records how the caller ended a connection.
     pub fn add_connection_end(&mut self, end: ConnectionEnd) {
         self.log.connection_ends.push(end);
     }
 
-    /// Notes a request that is no call.
+    /// Records a malformed call as a violation.
     pub fn reject(&mut self, reason: &str) -> CallResponse {
         self.add_violation(PlatformViolation::InvalidCall {
             reason: reason.to_owned(),
@@ -115,8 +116,8 @@
         CallResponse::Invalid
     }
 
-    /// Checks a call that the platform does not take, since it is in trouble, but has seen; whether its fence is the
-    /// greatest one.
+    /// Checks the fencing token and the holder of a call without processing its report, as for a platform that is busy or
+    /// silent. Returns whether no higher fencing token was received before.
     pub fn observe(&mut self, call: &ReceivedCall) -> bool {
         self.check_holder(call);
         let is_greatest = call.fence >= self.greatest_fence;
@@ -127,8 +128,8 @@
         is_greatest
     }
 
-    /// Takes a call, or refuses it.
-    pub fn take(&mut self, call: &ReceivedCall) -> CallResponse {
+    /// Handles a call: accepts its report, or refuses it.
+    pub fn handle(&mut self, call: &ReceivedCall) -> CallResponse {
         if !self.observe(call) {
             self.log.refused += 1;
             self.check_refusal(call);
@@ -148,7 +149,7 @@
     }
 
     fn check_holder(&mut self, call: &ReceivedCall) {
-        match self.holders.entry(call.fence) {
+        match self.owner_by_fence.entry(call.fence) {
             Entry::Vacant(entry) => {
                 entry.insert(call.owner.clone());
             }
@@ -181,35 +182,38 @@
         }
     }
 
-    /// Whether the holder acted before, and another one since, all within a lease.
+    /// Records a violation if, within a lease, this holder made a call and another holder made one since.
     fn check_order(&mut self, call: &ReceivedCall) {
         let lease_start = call.at.saturating_sub(self.rules.lease);
-        self.acts.retain(|act| act.at >= lease_start);
-        let is_own = |act: &&Act| act.owner == call.owner;
-        let mut since_own = self.acts.iter().skip_while(|act| !is_own(act));
-        let inner = since_own.find(|act| !is_own(act));
-        if let Some(inner) = inner.map(|act| act.owner.clone()) {
+        self.recent_calls.retain(|recent| recent.at >= lease_start);
+        let is_own = |recent: &&HolderCall| recent.owner == call.owner;
+        let mut since_own = self
+            .recent_calls
+            .iter()
+            .skip_while(|recent| !is_own(recent));
+        let inner = since_own.find(|recent| !is_own(recent));
+        if let Some(inner) = inner.map(|recent| recent.owner.clone()) {
             self.add_violation(PlatformViolation::AlternatingHolders {
                 outer: call.owner.clone(),
                 inner,
             });
         }
-        self.acts.push(Act {
+        self.recent_calls.push(HolderCall {
             owner: call.owner.clone(),
             at: call.at,
         });
     }
 
-    /// Counts a call; false if there were too many within the last second.
+    /// Takes a token of the rate limit. Returns false if there is none, so that the call exceeds the rate.
     fn is_within_rate(&mut self, at: Duration) -> bool {
         let rate = self.rules.calls_per_second;
-        let since = at.saturating_sub(self.call_allowance_at.unwrap_or(at));
-        let grown = self.call_allowance + since.as_secs_f64() * rate;
-        self.call_allowance = grown.min(rate.max(1.0));
-        self.call_allowance_at = Some(at);
-        let is_within = self.call_allowance >= 1.0;
+        let elapsed = at.saturating_sub(self.rate_tokens_updated_at.unwrap_or(at));
+        let refilled = self.rate_tokens + elapsed.as_secs_f64() * rate;
+        self.rate_tokens = refilled.min(rate.max(1.0));
+        self.rate_tokens_updated_at = Some(at);
+        let is_within = self.rate_tokens >= 1.0;
         if is_within {
-            self.call_allowance -= 1.0;
+            self.rate_tokens -= 1.0;
         }
         is_within
     }
@@ -236,7 +240,7 @@
         });
     }
 
-    /// The end of a window, since the start of 1970; `None` if no moment is so late.
+    /// Returns the end of a window as the time since the Unix epoch, or `None` if it overflows.
     fn end_of(&self, window: u64) -> Option<Duration> {
         let window_millis = u64::try_from(self.rules.report_window.as_millis()).ok()?;
         let millis = window.checked_add(1)?.checked_mul(window_millis)?;
@@ -248,7 +252,7 @@
     }
 }
 
-/// The body of a usage report, decoded.
+/// The decoded body of a usage report.
 struct Report {
     window: u64,
     tallies: BTreeMap<String, u64>,
--- a/crates/linenthread-fakes/src/platform/log.rs
+++ b/crates/linenthread-fakes/src/platform/log.rs
@@ -1,4 +1,4 @@
-//! What a fake platform has seen: reports, rules that were broken, ends of connections.
+//! The log of a fake platform: accepted reports, violations of its rules, and ends of connections.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,54 +7,54 @@
 /// A usage report that the platform has accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedReport {
-    /// The window that it is about.
+    /// The reporting window that it covers.
     pub window: u64,
-    /// The holder that sent it first.
+    /// The lease holder that sent it first.
     pub owner: String,
-    /// The fencing token that it bore.
+    /// The fencing token with which it was sent first.
     pub fence: u64,
-    /// The requests of each tenant.
+    /// The number of requests of each tenant.
     pub tallies: BTreeMap<String, u64>,
     /// The body as it was sent.
     pub body: String,
-    /// When it was accepted, since the start of 1970.
+    /// When it was accepted, as the time since the Unix epoch.
     pub at: Duration,
-    /// How long after its window's end it was accepted; `None` if the window had not ended.
+    /// How long after the end of its window it was accepted; `None` if the window had not ended.
     pub after_window_end: Option<Duration>,
 }
 
-/// A rule of calls at the platform that was broken.
+/// A violation of the platform's rules for calls.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlatformViolation {
     /// Two holders sent the same fencing token.
     SharedFence {
         /// The token.
         fence: u64,
-        /// Who sent it first.
+        /// The holder that sent it first.
         first: String,
-        /// Who sent it as well.
+        /// The holder that sent it later.
         second: String,
     },
-    /// Within one lease, a holder acted before and after another one.
+    /// Within one lease, a holder made calls both before and after another holder made one.
     AlternatingHolders {
-        /// Who acted before and after.
+        /// The holder that made calls before and after.
         outer: String,
-        /// Who acted between.
+        /// The holder that made a call in between.
         inner: String,
     },
-    /// Two different reports of one window were accepted.
+    /// Two different reports on the same window were accepted.
     DifferentReports {
         /// The window.
         window: u64,
     },
-    /// A holder went on with a token that had been refused more than a lease before, too many times.
+    /// A holder kept using a refused token: it made too many calls more than a lease after the first refusal.
     RefusedFence {
         /// The holder.
         owner: String,
         /// The token.
         fence: u64,
     },
-    /// What was sent is no call.
+    /// A request was not a valid call.
     InvalidCall {
         /// What is wrong with it.
         reason: String,
@@ -68,54 +68,62 @@
                 fence,
                 first,
                 second,
-            } => write!(formatter, "{first} and {second} sent the fence {fence}"),
+            } => write!(
+                formatter,
+                "{first} and {second} both sent the fencing token {fence}"
+            ),
             PlatformViolation::AlternatingHolders { outer, inner } => {
                 write!(
                     formatter,
-                    "{outer}, {inner} and {outer} acted within a lease"
+                    "{outer}, {inner} and {outer} made calls within one lease"
                 )
             }
             PlatformViolation::DifferentReports { window } => {
-                write!(formatter, "two reports of the window {window} differ")
+                write!(formatter, "two different reports on the window {window}")
             }
             PlatformViolation::RefusedFence { owner, fence } => {
-                write!(formatter, "{owner} went on with the refused fence {fence}")
+                write!(
+                    formatter,
+                    "{owner} kept using the refused fencing token {fence}"
+                )
+            }
+            PlatformViolation::InvalidCall { reason } => {
+                write!(formatter, "invalid call: {reason}")
             }
-            PlatformViolation::InvalidCall { reason } => write!(formatter, "no call: {reason}"),
         }
     }
 }
 
-/// How the caller's side of a connection has ended.
+/// How the caller ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// It was closed in order.
+    /// It closed the connection.
     Closed,
-    /// It was reset.
+    /// It reset the connection.
     Reset,
 }
 
-/// All that a fake platform has seen.
+/// The log of everything that a fake platform has received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlatformLog {
-    /// Complete requests that arrived, whatever became of them.
+    /// The number of complete requests that arrived, valid or not.
     pub received: usize,
-    /// Calls that were refused since a higher fence had been seen.
+    /// The number of calls refused because a higher fencing token had been received.
     pub refused: usize,
-    /// Calls that were too many for the rate.
+    /// The number of calls that exceeded the rate limit.
     pub over_rate: usize,
-    /// Exact repeats of accepted reports.
+    /// The number of exact repeats of accepted reports.
     pub repeats: usize,
     /// Accepted reports, in the order in which they were accepted.
     pub reports: Vec<AcceptedReport>,
-    /// Broken rules, in the order in which they were noticed.
+    /// Violations of the rules, in the order in which they were detected.
     pub violations: Vec<PlatformViolation>,
-    /// Ends of connections on the caller's side.
+    /// How callers ended their connections.
     pub connection_ends: Vec<ConnectionEnd>,
 }
 
 impl PlatformLog {
-    /// The report of a window.
+    /// Returns the first accepted report on a window.
     pub fn report(&self, window: u64) -> Option<&AcceptedReport> {
         self.reports.iter().find(|report| report.window == window)
     }
--- a/crates/linenthread-fakes/tests/platform.rs
+++ b/crates/linenthread-fakes/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The fake platform: it finds each planted breach of the rules, accepts calls that keep them, and fails on cue.
+//! The fake platform detects each violation of the rules, accepts valid calls, and can be made to fail.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -6,7 +6,7 @@
 
 use linenthread_fakes::PATIENCE;
 use linenthread_fakes::platform::{
-    CallResponse, ConnectionEnd, FakePlatform, PlatformJudge, PlatformLog, PlatformMode,
+    CallResponse, CallValidator, ConnectionEnd, FakePlatform, PlatformLog, PlatformMode,
     PlatformRules, PlatformViolation, ReceivedCall,
 };
 use yare::parameterized;
@@ -17,10 +17,10 @@
     report_window: Duration::from_secs(5),
 };
 
-/// A moment long after the end of the windows of these tests, in milliseconds since the start of 1970.
+/// The time of the first calls, in milliseconds since the Unix epoch. Most windows in these tests ended long before.
 const START_MS: u64 = 1_000_000;
 
-/// A call with a report of one tenant, so many milliseconds after the start.
+/// Returns a call that reports one tenant's requests, received `after_ms` after [`START_MS`].
 fn call(owner: &str, fence: u64, window: u64, requests: u64, after_ms: u64) -> ReceivedCall {
     ReceivedCall {
         owner: owner.to_owned(),
@@ -30,22 +30,22 @@
     }
 }
 
-/// The responses to these calls one after another, and what the platform has seen then.
-fn judge(calls: &[ReceivedCall]) -> (Vec<CallResponse>, PlatformLog) {
-    let mut judge = PlatformJudge::new(RULES);
-    let responses = calls.iter().map(|call| judge.take(call)).collect();
-    (responses, judge.log().clone())
+/// Handles calls in order, and returns the responses and the log of the platform.
+fn handle_calls(calls: &[ReceivedCall]) -> (Vec<CallResponse>, PlatformLog) {
+    let mut validator = CallValidator::new(RULES);
+    let responses = calls.iter().map(|call| validator.handle(call)).collect();
+    (responses, validator.log().clone())
 }
 
 #[test]
-fn reports_that_keep_the_rules_are_accepted() {
+fn valid_reports_are_accepted() {
     let calls = [
         call("a", 3, 198, 7, 0),
         call("a", 3, 199, 8, 100),
         call("b", 4, 199, 8, 200),
         call("a", 5, 200, 9, 3_101),
     ];
-    let (responses, log) = judge(&calls);
+    let (responses, log) = handle_calls(&calls);
     assert_eq!(responses, [CallResponse::Accepted; 4]);
     assert_eq!(log.violations, []);
     assert_eq!((log.reports.len(), log.repeats), (3, 1));
@@ -58,13 +58,13 @@
 }
 
 #[test]
-fn a_lower_fence_is_refused_and_breaks_nothing() {
+fn a_lower_fencing_token_is_refused_without_a_violation() {
     let calls = [
         call("a", 3, 1, 7, 0),
         call("b", 4, 2, 7, 10),
         call("a", 3, 3, 7, 20),
     ];
-    let (responses, log) = judge(&calls);
+    let (responses, log) = handle_calls(&calls);
     assert_eq!(responses[2], CallResponse::FenceTooLow);
     assert_eq!((log.refused, log.violations.len()), (1, 0));
     assert_eq!(log.report(3), None);
@@ -92,29 +92,29 @@
         PlatformViolation::InvalidCall { reason: r#"not a usage report: {"epoch":1}"#.into() }
     },
 )]
-fn a_planted_breach_is_found(calls: &[ReceivedCall], expected: PlatformViolation) {
-    assert_eq!(judge(calls).1.violations, [expected]);
+fn each_violation_is_detected(calls: &[ReceivedCall], expected: PlatformViolation) {
+    assert_eq!(handle_calls(calls).1.violations, [expected]);
 }
 
 #[test]
-fn a_refused_fence_may_be_used_three_times_after_a_lease() {
+fn a_refused_fencing_token_may_be_used_three_times_after_a_lease() {
     let mut calls = vec![call("b", 4, 1, 7, 0)];
     calls.extend((0..5).map(|after| call("a", 3, 1, 7, after)));
     calls.extend((0..3).map(|after| call("a", 3, 1, 7, 3_001 + after)));
-    assert_eq!(judge(&calls).1.violations, []);
+    assert_eq!(handle_calls(&calls).1.violations, []);
     calls.push(call("a", 3, 1, 7, 9_000));
     let expected = PlatformViolation::RefusedFence {
         owner: "a".into(),
         fence: 3,
     };
-    assert_eq!(judge(&calls).1.violations, [expected]);
+    assert_eq!(handle_calls(&calls).1.violations, [expected]);
 }
 
 #[test]
-fn calls_over_the_rate_are_too_many_until_time_passes() {
+fn calls_over_the_rate_limit_are_rejected_until_time_passes() {
     let burst = (0..51).map(|window| call("a", 3, window, 7, 0));
     let calls: Vec<ReceivedCall> = burst.chain([call("a", 3, 50, 7, 20)]).collect();
-    let (responses, log) = judge(&calls);
+    let (responses, log) = handle_calls(&calls);
     assert_eq!(
         responses[50..],
         [CallResponse::TooMany, CallResponse::Accepted]
@@ -122,9 +122,9 @@
     assert_eq!((log.over_rate, log.reports.len()), (1, 51));
 }
 
-// --- on sockets ---
+// --- over HTTP ---
 
-/// A valid request.
+/// Returns a valid HTTP request.
 fn request() -> String {
     let body = r#"{"epoch":1,"tallies":{}}"#;
     format!(
@@ -134,7 +134,8 @@
     )
 }
 
-/// The start line of the response; empty if the connection is closed without one.
+/// Sends a request on a new connection. Returns the beginning of the response's status line, or an empty string if the
+/// connection is closed without a response.
 fn send(platform: &FakePlatform, request: &str) -> std::io::Result<String> {
     let mut connection = TcpStream::connect(platform.address)?;
     connection.set_read_timeout(Some(PATIENCE))?;
@@ -145,14 +146,14 @@
 }
 
 #[test]
-fn calls_on_sockets_are_judged_and_ends_of_connections_noted() {
+fn calls_over_http_are_handled_and_connection_ends_recorded() {
     let platform = FakePlatform::start(RULES);
     assert_eq!(send(&platform, &request()).unwrap(), "HTTP/1.1 200");
     let ended = |log: &PlatformLog| log.connection_ends.len() == 1;
     assert!(platform.wait_until(PATIENCE, ended));
     let log = platform.log();
     assert_eq!((log.received, log.reports.len()), (1, 1));
-    // The response was not read to its end, so the system resets the connection.
+    // The client closes the connection without reading the whole response, so the system resets it.
     assert_eq!(log.connection_ends, [ConnectionEnd::Reset]);
 }
 
@@ -164,9 +165,9 @@
     no_fence = { "X-Fence-Token", "X-Fence" },
     signed_fence = { "Token: 3", "Token: +3" },
 )]
-fn what_is_no_call_is_a_breach(good: &str, bad: &str) {
+fn malformed_calls_are_violations(original: &str, replacement: &str) {
     let platform = FakePlatform::start(RULES);
-    let response = send(&platform, &request().replacen(good, bad, 1)).unwrap();
+    let response = send(&platform, &request().replacen(original, replacement, 1)).unwrap();
     assert_eq!(response, "HTTP/1.1 400");
     let log = platform.log();
     assert!(matches!(
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn a_platform_in_trouble_recovers_at_the_same_address() {
+fn a_failed_platform_recovers_at_the_same_address() {
     let platform = FakePlatform::start(RULES);
     platform.set_mode(PlatformMode::Busy);
     assert_eq!(send(&platform, &request()).unwrap(), "HTTP/1.1 503");
