--- a/crates/linenthread-fakes/src/checker.rs
+++ b/crates/linenthread-fakes/src/checker.rs
@@ -1,7 +1,7 @@
-//! Checks merged responses against the full data, without any code of the program's own.
+//! Checks merged responses against the full data, without using code of the program under test.
 //!
-//! Each check takes the shards of the query with their weights, the floor (the least share of the weight that a
-//! partial response must have) and the response as JSON. What must be in it is computed from a
+//! Each check takes the shards of the query with their weights, the floor (the minimum share of the weight that a
+//! partial response must cover) and the response as JSON. The expected contents are computed from a
 //! [`RowStore`](crate::row_store::RowStore).
 
 mod error;
--- a/crates/linenthread-fakes/src/checker/error.rs
+++ b/crates/linenthread-fakes/src/checker/error.rs
@@ -1,98 +1,100 @@
-//! What can be wrong with a merged response.
+//! The errors that the checks of merged responses report.
 
 use serde_json::Value;
 use snafu::Snafu;
 
-/// What is wrong with a response.
+/// An error in a merged response.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 #[non_exhaustive]
 pub enum CheckError {
-    /// The shards that are included and those that are missing are not the shards of the query.
-    #[snafu(display("in {included:?} and missing {missing:?} are not {queried:?}"))]
+    /// The included and the missing shards together are not the shards of the query.
+    #[snafu(display(
+        "the included shards {included:?} and the missing shards {missing:?} are not the queried shards {queried:?}"
+    ))]
     Shards {
-        /// Those that the response says it includes.
+        /// The included shards according to the response.
         included: Vec<usize>,
-        /// Those that it says are missing.
+        /// The missing shards according to the response.
         missing: Vec<usize>,
-        /// Those of the query.
+        /// The shards of the query.
         queried: Vec<usize>,
     },
-    /// A partial response is made for a share under the floor.
-    #[snafu(display("{share} of the weight is in, under the floor {floor}"))]
+    /// The response covers less than the floor.
+    #[snafu(display("the response covers {share} of the weight, less than the floor {floor}"))]
     UnderFloor {
         /// The share of the weight that is included.
         share: f64,
-        /// The least share that is allowed.
+        /// The minimum share that is allowed.
         floor: f64,
     },
-    /// The response gives a wrong share.
-    #[snafu(display("the share is given as {actual}, it is {share}"))]
+    /// The share in the response is wrong.
+    #[snafu(display("the share is {actual}, not {share}"))]
     Share {
         /// The share in the response.
         actual: String,
-        /// The true one.
+        /// The true share.
         share: f64,
     },
-    /// The response is wrong about its completeness.
+    /// The completeness in the response is wrong.
     #[snafu(display("finished is {actual} with {missing:?} missing"))]
     Finished {
-        /// What the response says.
+        /// The value of `finished` in the response.
         actual: String,
         /// The shards that are missing.
         missing: Vec<usize>,
     },
-    /// A part of the response is not there.
-    #[snafu(display("no {name}"))]
+    /// A field of the response is absent.
+    #[snafu(display("the field {name} is absent"))]
     Absent {
-        /// The name of the part.
+        /// The name of the field.
         name: &'static str,
     },
-    /// A page does not have the rows that come next.
+    /// A page does not contain the next rows.
     #[snafu(display("rows are {actual:?}, not {expected:?}"))]
     Rows {
         /// The rows of the page.
         actual: Vec<Value>,
-        /// Those that come next.
+        /// The next rows in order.
         expected: Vec<Value>,
     },
-    /// A page is short, and does not say that it was cut.
-    #[snafu(display("{actual} rows of {available} that are there, and no cut is named"))]
+    /// A page has too few rows, and does not declare that it was cut.
+    #[snafu(display("the page has {actual} of {available} available rows, and declares no cut"))]
     ShortPage {
-        /// The rows of the page.
+        /// The number of rows on the page.
         actual: usize,
-        /// The rows that are left to read.
+        /// The number of rows that have not been read.
         available: usize,
     },
-    /// A page names a shard that has no more rows as a cause of its being cut.
-    #[snafu(display("shard {shard} is named as behind, and has no more rows"))]
+    /// A page names a shard as the cause of a cut, and the shard has no more rows.
+    #[snafu(display("shard {shard} is listed in cut.behind, and has no more rows"))]
     NotBehind {
         /// The shard.
         shard: usize,
     },
-    /// A row was in an earlier page.
-    #[snafu(display("{id} is shown again"))]
+    /// A row was already on an earlier page.
+    #[snafu(display("row {id} is shown again"))]
     ShownAgain {
         /// The id of the row.
         id: String,
     },
-    /// A page is wrong about whether there is another.
-    #[snafu(display("goes_on is {goes_on}, next is {next}; it is {expected}"))]
+    /// A page is wrong about whether another page follows.
+    #[snafu(display("goes_on is {goes_on} and next is {next}; expected {expected}"))]
     Continuation {
-        /// What the page says.
+        /// The value of `goes_on` in the page.
         goes_on: String,
-        /// Its cursor.
+        /// The cursor of the next page.
         next: String,
-        /// Whether there is another.
+        /// Whether another page follows.
         expected: bool,
     },
-    /// A row was in no page.
-    #[snafu(display("{id} was never shown"))]
+    /// A row was on no page.
+    #[snafu(display("row {id} was never shown"))]
     NeverShown {
         /// The id of the row.
         id: String,
     },
-    /// A figure is not that of the included shards.
+    /// A figure differs from the true value over the included shards.
     #[snafu(display("{name} is {actual}, not {expected:?}"))]
     Figure {
         /// The name of the figure.
@@ -102,8 +104,10 @@
         /// The true value.
         expected: Option<i64>,
     },
-    /// A figure gives a bound that does not hold for all shards.
-    #[snafu(display("{name} {value} is given as {bound}, all have {of_all:?}"))]
+    /// The bound of a figure does not hold for the value over all shards of the query.
+    #[snafu(display(
+        "the bound of {name} {value} is {bound}; the value over all shards is {of_all:?}"
+    ))]
     Bound {
         /// The name of the figure.
         name: &'static str,
@@ -111,29 +115,29 @@
         value: String,
         /// The bound in the response.
         bound: String,
-        /// The value over all shards.
+        /// The true value over all shards of the query.
         of_all: Option<i64>,
     },
-    /// The mean is wrong, or its bound.
-    #[snafu(display("the mean of {sum} over {count} is given as {actual}"))]
+    /// The mean or its bound is wrong.
+    #[snafu(display("the mean of the sum {sum} over {count} rows is {actual}"))]
     Mean {
         /// The true sum.
         sum: i64,
         /// The true count.
         count: usize,
-        /// The mean in the response.
+        /// The mean and its bound in the response.
         actual: String,
     },
-    /// The groups are not the largest, in order.
+    /// The listed groups are not the largest ones in order.
     #[snafu(display("groups are {actual:?}, not {expected:?}"))]
     Groups {
         /// The names of the groups in the response.
         actual: Vec<String>,
-        /// Those of the largest.
+        /// The names of the largest groups.
         expected: Vec<String>,
     },
-    /// The rest is there without need, or is not there.
-    #[snafu(display("the rest is {actual}"))]
+    /// The rest is present although all groups are listed, or is absent although some are not.
+    #[snafu(display("the presence of the rest is wrong: {actual}"))]
     Rest {
         /// The rest in the response.
         actual: String,
--- a/crates/linenthread-fakes/src/checker/figures.rs
+++ b/crates/linenthread-fakes/src/checker/figures.rs
@@ -1,4 +1,4 @@
-//! Checks figures: a value, and how it relates to the one over all shards.
+//! Checks figures: the value over the included shards, and its bound relative to the value over all shards.
 
 use serde_json::Value;
 use snafu::ensure;
@@ -7,7 +7,7 @@
 use super::error::{BoundSnafu, FigureSnafu};
 use crate::row_store::SumAndCount;
 
-/// The unit of a figure, by which it is written.
+/// The unit of a figure, which determines its JSON representation.
 #[derive(Clone, Copy)]
 pub(super) enum Unit {
     /// A number of rows.
@@ -21,14 +21,14 @@
     /// The figure's name in the response.
     pub(super) name: &'static str,
     pub(super) unit: Unit,
-    /// Over the shards that the response includes.
+    /// The value over the shards that the response includes.
     pub(super) included: Option<i64>,
-    /// Over all shards of the query.
+    /// The value over all shards of the query.
     pub(super) of_all: Option<i64>,
 }
 
 impl TrueFigure {
-    /// Checks the figure of this name and its bound; `partial` says that shards are missing.
+    /// Checks the value and the bound of this figure. `partial` is true if shards are missing.
     pub(super) fn check(&self, figures: &Value, partial: bool) -> Result<(), CheckError> {
         let actual = &figures[self.name];
         let value = match self.unit {
@@ -43,7 +43,7 @@
                 expected: self.included
             }
         );
-        let holds = match actual["is"].as_str() {
+        let is_bound_valid = match actual["is"].as_str() {
             Some("exact") => !partial && value == self.of_all,
             Some("at-least") => partial && value <= self.of_all,
             Some("at-most") => partial && value >= self.of_all,
@@ -51,7 +51,7 @@
             _ => false,
         };
         ensure!(
-            holds,
+            is_bound_valid,
             BoundSnafu {
                 name: self.name,
                 value: actual["value"].to_string(),
@@ -63,7 +63,7 @@
     }
 }
 
-/// Checks a sum and a count.
+/// Checks the figures `sum` and `count`.
 pub(super) fn check_sum_and_count(
     figures: &Value,
     included: SumAndCount,
@@ -86,7 +86,7 @@
     count.check(figures, partial)
 }
 
-/// An amount in hundredths.
+/// Parses an amount with two decimal places into hundredths.
 pub(super) fn cents(amount: &Value) -> Option<i64> {
     let (units, fraction) = amount.as_str()?.split_once('.')?;
     if fraction.len() != 2 {
@@ -96,7 +96,7 @@
     Some(units.parse::<i64>().ok()? * 100 + sign * fraction.parse::<i64>().ok()?)
 }
 
-/// A count as figures have it.
+/// Converts a count to the type of figures.
 pub(super) fn as_figure(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/linenthread-fakes/src/checker/groups.rs
+++ b/crates/linenthread-fakes/src/checker/groups.rs
@@ -1,4 +1,4 @@
-//! Checks totals by group.
+//! Checks the totals of groups.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,12 @@
 use super::shards::{ShardWeight, check_shards, shard_numbers};
 use crate::row_store::{RowStore, SumAndCount};
 
-/// Checks groups by charity: at most so many by themselves, the largest first, and the rest as one.
+/// Checks the groups by charity: at most `max_groups` are listed, the largest first, and all others are combined in the
+/// rest.
 ///
 /// # Errors
 ///
-/// If groups are wrong, or their figures, or the response is wrong about its shards.
+/// If the groups, their figures, or the statements on shards are wrong.
 ///
 /// # Panics
 ///
@@ -59,7 +60,7 @@
     )
 }
 
-/// The names of the largest groups; of those of one size, the first by name.
+/// Returns the names of the largest groups in order; groups of equal size are ordered by name.
 fn largest(groups: &BTreeMap<String, SumAndCount>, max_groups: usize) -> Vec<String> {
     let mut by_size: Vec<_> = groups.iter().collect();
     by_size.sort_by_key(|(name, group)| (-group.sum, (*name).clone()));
@@ -67,21 +68,21 @@
     largest.map(|(name, _)| name.clone()).collect()
 }
 
-/// Checks that the groups of a response have these names, in order.
+/// Checks that the groups of a response have these names in this order.
 fn check_names(groups: &[Value], expected: &[String]) -> Result<(), CheckError> {
     let actual: Vec<String> = groups.iter().map(name_of).collect();
     ensure!(actual == expected, GroupsSnafu { actual, expected });
     Ok(())
 }
 
-/// A group's name; of one without a name what stands there instead, which is the name of none.
+/// Returns the name of a group. If it is not a string, returns its JSON text, which equals no real name.
 fn name_of(group: &Value) -> String {
     let name = &group["of"];
     name.as_str()
         .map_or_else(|| name.to_string(), ToOwned::to_owned)
 }
 
-/// The sum over all groups but those that are listed.
+/// Returns the sum and count over all groups that are not listed.
 fn rest_of(groups: &BTreeMap<String, SumAndCount>, listed: &[String]) -> SumAndCount {
     let mut rest = SumAndCount::default();
     for (_, group) in groups.iter().filter(|(name, _)| !listed.contains(name)) {
--- a/crates/linenthread-fakes/src/checker/pages.rs
+++ b/crates/linenthread-fakes/src/checker/pages.rs
@@ -1,4 +1,4 @@
-//! Checks ranked rows in pages, as one client reads them.
+//! Checks the pages of sorted rows that one client reads.
 
 use std::collections::BTreeMap;
 
@@ -24,12 +24,12 @@
     shards: Vec<usize>,
     /// The sort key up to which each shard has been read.
     position: BTreeMap<usize, SortKey>,
-    /// Ids shown so far.
+    /// The ids of the rows shown so far.
     shown: Vec<String>,
 }
 
 impl PagedRead {
-    /// A client that has read nothing of a query's shards yet.
+    /// Returns a client that has read no rows of the query's shards yet.
     pub fn new(shards: &[ShardWeight]) -> Self {
         PagedRead {
             shards: shard_numbers(shards),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The rows of some shards that have not been read yet, in order.
+    /// Returns the unread rows of some shards, in order.
     fn unread<'s>(&self, store: &'s RowStore, shards: &[usize]) -> Vec<UnreadRow<'s>> {
         let rows = |shard: usize| {
             let rows = store.shards[shard].iter();
@@ -53,11 +53,11 @@
         unread
     }
 
-    /// Checks one page of at most so many rows, and counts it as read.
+    /// Checks one page with at most `limit` rows, and marks its rows as read.
     ///
     /// # Errors
     ///
-    /// If the page lacks rows, has others, or is wrong about how the read goes on.
+    /// If rows are missing or wrong, or the statements on shards, cuts or the next page are wrong.
     ///
     /// # Panics
     ///
@@ -85,7 +85,7 @@
         check_continuation(goes_on, response)
     }
 
-    /// Counts all rows of some shards up to a sort key as read.
+    /// Marks all rows of some shards up to a sort key as read.
     fn advance(&mut self, shards: &[usize], last: &SortKey) {
         for &shard in shards {
             let position = self.position.entry(shard).or_insert_with(|| last.clone());
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Checks that shards which are named as a cause of a cut have more rows.
+    /// Checks that the shards listed as the cause of a cut have more rows.
     fn check_behind(
         &self,
         store: &RowStore,
@@ -112,7 +112,7 @@
         Ok(())
     }
 
-    /// Counts rows as shown, which none of them was before.
+    /// Marks rows as shown; fails if one was shown before.
     fn show(&mut self, rows: &[Value]) -> Result<(), CheckError> {
         for row in rows {
             let id = row["id"].as_str().unwrap_or_default().to_owned();
@@ -122,7 +122,8 @@
         Ok(())
     }
 
-    /// Checks the read once there is no next page: no row is left out but those added since it began.
+    /// Checks a read that has no next page: every row must have been shown, except those that were added since the read
+    /// began.
     ///
     /// # Errors
     ///
@@ -143,7 +144,7 @@
     }
 }
 
-/// Checks the rows of a page against those that come next.
+/// Checks that a page contains the next unread rows, and as many as fit unless it was cut.
 fn check_rows(
     rows: &[Value],
     unread: &[UnreadRow],
@@ -169,7 +170,7 @@
     Ok(())
 }
 
-/// Checks what a page says of a next one.
+/// Checks what a page states about the next page.
 fn check_continuation(expected: bool, response: &Value) -> Result<(), CheckError> {
     let (goes_on, next) = (&response["goes_on"], &response["next"]);
     ensure!(
--- a/crates/linenthread-fakes/src/checker/shards.rs
+++ b/crates/linenthread-fakes/src/checker/shards.rs
@@ -1,4 +1,4 @@
-//! Checks what a response says of its shards.
+//! Checks what a response states about its shards.
 
 use serde_json::Value;
 use snafu::ensure;
@@ -6,19 +6,19 @@
 use super::CheckError;
 use super::error::{FinishedSnafu, ShardsSnafu, ShareSnafu, UnderFloorSnafu};
 
-/// By how much a share may differ from the true one.
+/// The maximum difference between a share in a response and the true one.
 const SHARE_TOLERANCE: f64 = 1e-3;
 
-/// A shard of a query, and its weight.
+/// A shard of a query and its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardWeight {
     /// The shard.
     pub shard: usize,
-    /// Its share of the query's weight.
+    /// Its weight in the query.
     pub weight: f64,
 }
 
-/// The numbers in a list of a response.
+/// Returns the numbers in a JSON list.
 pub(super) fn indexes(value: &Value) -> Vec<usize> {
     value
         .as_array()
@@ -28,12 +28,12 @@
         .collect()
 }
 
-/// The numbers of the shards.
+/// Returns the numbers of the shards.
 pub(super) fn shard_numbers(shards: &[ShardWeight]) -> Vec<usize> {
     shards.iter().map(|queried| queried.shard).collect()
 }
 
-/// The weight of those shards that are included.
+/// Returns the total weight of the included shards.
 fn weight_of(included: &[usize], shards: &[ShardWeight]) -> f64 {
     shards
         .iter()
@@ -42,11 +42,11 @@
         .sum()
 }
 
-/// Checks what a response says of its shards against the query and the floor; the shards that it includes.
+/// Checks what a response states about its shards against the query and the floor. Returns the shards that it includes.
 ///
 /// # Errors
 ///
-/// If the response is wrong about its shards or their share, or the share is under the floor.
+/// If the shards, their share or the completeness are wrong, or the share is less than the floor.
 pub fn check_shards(
     shards: &[ShardWeight],
     floor: f64,
@@ -80,7 +80,7 @@
     Ok(included)
 }
 
-/// The missing shards, which a response names by the reason.
+/// Returns the missing shards, which a response lists by reason.
 fn missing_shards(missing: &Value) -> Vec<usize> {
     missing
         .as_object()
@@ -95,11 +95,11 @@
         share >= floor - SHARE_TOLERANCE,
         UnderFloorSnafu { share, floor }
     );
-    let is_true = actual
+    let is_correct = actual
         .as_f64()
         .is_some_and(|actual| (actual - share).abs() <= SHARE_TOLERANCE);
     ensure!(
-        is_true,
+        is_correct,
         ShareSnafu {
             actual: actual.to_string(),
             share
--- a/crates/linenthread-fakes/src/checker/totals.rs
+++ b/crates/linenthread-fakes/src/checker/totals.rs
@@ -1,4 +1,4 @@
-//! Checks totals.
+//! Checks totals over all rows.
 
 use serde_json::Value;
 use snafu::ensure;
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// If a figure is wrong, or its bound, or the response is wrong about its shards.
+/// If a figure, its bound, or a statement on shards is wrong.
 ///
 /// # Panics
 ///
@@ -52,17 +52,17 @@
     check_mean(&figures["mean"], of_included.sum_and_count, partial)
 }
 
-/// Checks a mean: it may be off by half a unit.
+/// Checks the mean and its bound. The mean may be off by half of a hundredth, due to rounding.
 fn check_mean(actual: &Value, included: SumAndCount, partial: bool) -> Result<(), CheckError> {
     let SumAndCount { sum, count } = included;
     let rows = as_figure(count);
-    let holds = match cents(&actual["value"]) {
+    let is_value_correct = match cents(&actual["value"]) {
         None => count == 0,
         Some(mean) => 2 * (mean * rows - sum).abs() <= rows,
     };
     let bound = if partial { "either-way" } else { "exact" };
     ensure!(
-        holds && actual["is"].as_str() == Some(bound),
+        is_value_correct && actual["is"].as_str() == Some(bound),
         MeanSnafu {
             sum,
             count,
--- a/crates/linenthread-fakes/tests/checker.rs
+++ b/crates/linenthread-fakes/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker of merged responses finds a planted wrong answer of each kind, and accepts the right one.
+//! The checker of merged responses rejects each kind of wrong response, and accepts correct ones.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 use linenthread_fakes::row_store::{Donation, RowStore};
 use serde_json::{Value, json};
 
-/// Rows on a page.
+/// The maximum number of rows on a page.
 const LIMIT: usize = 2;
-/// Groups that are listed by themselves.
+/// The maximum number of listed groups.
 const MAX_GROUPS: usize = 1;
-/// The least share of a partial response.
+/// The minimum share of a partial response.
 const FLOOR: f64 = 0.5;
-/// The shards of the query: both are in every store of these tests.
+/// The shards of the queries: all shards of the store.
 const SHARDS: [ShardWeight; 2] = [
     ShardWeight {
         shard: 0,
@@ -35,7 +35,7 @@
     }
 }
 
-/// The rows in order are a, b, c, d; shard 0 has a and c.
+/// Returns a store with the rows a, b, c, d in this order; shard 0 holds a and c, shard 1 holds b and d.
 fn store() -> RowStore {
     let mut store = RowStore::default();
     store.shards = vec![
@@ -51,23 +51,23 @@
     store
 }
 
-/// What a complete response says of the shards, with these further fields.
+/// Returns a complete response with these fields.
 fn complete(fields: Value) -> Value {
-    with_shards(
+    with_fields(
         json!({"finished": true, "slices": {"in": [0, 1], "missing": {}, "share": 1.0}}),
         fields,
     )
 }
 
-/// What a response without shard 1 says of the shards, with these further fields.
+/// Returns a response that lacks shard 1, with these fields.
 fn partial(fields: Value) -> Value {
-    with_shards(
+    with_fields(
         json!({"finished": false, "slices": {"in": [0], "missing": {"failed": [1]}, "share": 0.75}}),
         fields,
     )
 }
 
-fn with_shards(mut response: Value, fields: Value) -> Value {
+fn with_fields(mut response: Value, fields: Value) -> Value {
     let Value::Object(fields) = fields else {
         panic!("fields are an object")
     };
@@ -75,7 +75,7 @@
     response
 }
 
-/// The rows of the store with these ids, as a response gives them.
+/// Returns the rows of the store with these ids, in the form of a response.
 fn rows(ids: &[&str]) -> Vec<Value> {
     let store = store();
     let by_id: BTreeMap<&str, Value> = store
@@ -87,7 +87,7 @@
     ids.iter().map(|id| by_id[id].clone()).collect()
 }
 
-/// A page with these rows; `next` says whether there is another.
+/// Returns a page with these rows; `next` says whether another page follows.
 fn page(ids: &[&str], next: bool) -> Value {
     let cursor = if next { json!("cursor") } else { Value::Null };
     complete(json!({"rows": rows(ids), "goes_on": next, "next": cursor, "cut": null}))
@@ -97,7 +97,7 @@
     json!({"value": value.into(), "is": bound})
 }
 
-/// The right totals over both shards.
+/// Returns the correct totals over both shards.
 fn totals() -> Value {
     complete(json!({"totals": {"amount": {
         "sum": figure("18.75", "exact"),
@@ -108,7 +108,7 @@
     }}}))
 }
 
-/// The right totals over shard 0, while shard 1 is missing.
+/// Returns the correct totals of a response that lacks shard 1.
 fn partial_totals() -> Value {
     partial(json!({"totals": {"amount": {
         "sum": figure("7.50", "at-least"),
@@ -123,7 +123,7 @@
     json!({"amount": {"sum": figure(sum, "exact"), "count": figure(count, "exact")}})
 }
 
-/// The right groups: the largest by itself, the two others as the rest.
+/// Returns the correct groups: the largest is listed, the other two are combined in the rest.
 fn groups() -> Value {
     complete(json!({
         "groups": [{"of": "etna", "totals": group_figures("15.00", 2)}],
@@ -131,32 +131,32 @@
     }))
 }
 
-/// A copy with the value at a JSON pointer replaced.
-fn planted(right: &Value, pointer: &str, value: impl Into<Value>) -> Value {
-    let mut wrong = right.clone();
-    *wrong
+/// Returns a copy with the value at a JSON pointer replaced.
+fn with_value(original: &Value, pointer: &str, value: impl Into<Value>) -> Value {
+    let mut changed = original.clone();
+    *changed
         .pointer_mut(pointer)
-        .expect("the pointer leads somewhere") = value.into();
-    wrong
+        .expect("the pointer refers to a value") = value.into();
+    changed
 }
 
-/// Checks the first page of a read.
+/// Checks a response as the first page of a read.
 fn check_first_page(response: &Value) -> Result<(), CheckError> {
     PagedRead::new(&SHARDS).check_page(&store(), &SHARDS, FLOOR, LIMIT, response)
 }
 
-/// Fails unless the result is an error of a kind.
-macro_rules! assert_found {
+/// Fails unless the result is an error of this kind.
+macro_rules! assert_rejected {
     ($result:expr, $kind:pat) => {
         match $result {
             Err($kind) => {}
-            other => panic!("{} was not found: {other:?}", stringify!($kind)),
+            other => panic!("expected {}, got {other:?}", stringify!($kind)),
         }
     };
 }
 
 #[test]
-fn right_responses_are_accepted() {
+fn correct_responses_are_accepted() {
     let store = store();
     check_totals(&store, &SHARDS, FLOOR, &totals()).unwrap();
     check_totals(&store, &SHARDS, FLOOR, &partial_totals()).unwrap();
@@ -170,96 +170,96 @@
 }
 
 #[test]
-fn wrong_statements_on_shards_are_found() {
-    let right = totals();
+fn wrong_shards_and_shares_are_rejected() {
+    let correct = totals();
     let check = |response: &Value| check_shards(&SHARDS, FLOOR, response);
     for included in [json!([0]), json!([0, 1, 1]), json!([0, 2])] {
-        let wrong = planted(&right, "/slices/in", included);
-        assert_found!(check(&wrong), CheckError::Shards { .. });
+        let wrong = with_value(&correct, "/slices/in", included);
+        assert_rejected!(check(&wrong), CheckError::Shards { .. });
     }
-    let included_and_missing = planted(&right, "/slices/missing", json!({"failed": [1]}));
-    assert_found!(check(&included_and_missing), CheckError::Shards { .. });
+    let included_and_missing = with_value(&correct, "/slices/missing", json!({"failed": [1]}));
+    assert_rejected!(check(&included_and_missing), CheckError::Shards { .. });
     for share in [json!(0.9), json!(1.01), Value::Null] {
-        let wrong = planted(&right, "/slices/share", share);
-        assert_found!(check(&wrong), CheckError::Share { .. });
+        let wrong = with_value(&correct, "/slices/share", share);
+        assert_rejected!(check(&wrong), CheckError::Share { .. });
     }
-    assert_found!(
-        check(&planted(&right, "/finished", false)),
+    assert_rejected!(
+        check(&with_value(&correct, "/finished", false)),
         CheckError::Finished { .. }
     );
-    assert_found!(
-        check(&planted(&partial_totals(), "/finished", true)),
+    assert_rejected!(
+        check(&with_value(&partial_totals(), "/finished", true)),
         CheckError::Finished { .. }
     );
-    assert_found!(
+    assert_rejected!(
         check_shards(&SHARDS, 0.8, &partial_totals()),
         CheckError::UnderFloor { .. }
     );
 }
 
 #[test]
-fn wrong_pages_are_found() {
+fn wrong_pages_are_rejected() {
     let first = page(&["a", "b"], true);
-    let without_rows = planted(&first, "/rows", Value::Null);
-    assert_found!(
+    let without_rows = with_value(&first, "/rows", Value::Null);
+    assert_rejected!(
         check_first_page(&without_rows),
         CheckError::Absent { name: "rows" }
     );
     for ids in [["b", "a"], ["a", "c"], ["a", "a"], ["b", "c"]] {
-        assert_found!(check_first_page(&page(&ids, true)), CheckError::Rows { .. });
+        assert_rejected!(check_first_page(&page(&ids, true)), CheckError::Rows { .. });
     }
-    let altered = planted(&first, "/rows/1/amount", "10.01");
-    assert_found!(check_first_page(&altered), CheckError::Rows { .. });
-    assert_found!(
+    let altered = with_value(&first, "/rows/1/amount", "10.01");
+    assert_rejected!(check_first_page(&altered), CheckError::Rows { .. });
+    assert_rejected!(
         check_first_page(&page(&["a"], true)),
         CheckError::ShortPage { .. }
     );
-    let cut_without_cause = planted(&page(&["a", "b"], true), "/cut", json!({"behind": [0, 5]}));
-    assert_found!(
+    let cut_without_cause = with_value(&page(&["a", "b"], true), "/cut", json!({"behind": [0, 5]}));
+    assert_rejected!(
         check_first_page(&cut_without_cause),
         CheckError::NotBehind { shard: 5 }
     );
-    assert_found!(
+    assert_rejected!(
         check_first_page(&page(&["a", "b"], false)),
         CheckError::Continuation { .. }
     );
-    let without_cursor = planted(&first, "/next", Value::Null);
-    assert_found!(
+    let without_cursor = with_value(&first, "/next", Value::Null);
+    assert_rejected!(
         check_first_page(&without_cursor),
         CheckError::Continuation { .. }
     );
 }
 
 #[test]
-fn a_row_that_is_shown_again_or_never_is_found() {
+fn repeated_and_missing_rows_are_rejected() {
     let mut store = store();
     let mut read = PagedRead::new(&SHARDS);
     read.check_page(&store, &SHARDS, FLOOR, LIMIT, &page(&["a", "b"], true))
         .unwrap();
-    let later = donation("a", 1, 500, "etna");
-    store.shards[0] = vec![later.clone()];
-    let again = planted(&page(&["d", "d"], false), "/rows/1", later.row());
-    assert_found!(
-        read.check_page(&store, &SHARDS, FLOOR, LIMIT, &again),
+    let moved = donation("a", 1, 500, "etna");
+    store.shards[0] = vec![moved.clone()];
+    let repeated = with_value(&page(&["d", "d"], false), "/rows/1", moved.row());
+    assert_rejected!(
+        read.check_page(&store, &SHARDS, FLOOR, LIMIT, &repeated),
         CheckError::ShownAgain { .. }
     );
-    let mut half_read = PagedRead::new(&SHARDS);
+    let mut partial_read = PagedRead::new(&SHARDS);
     let store = self::store();
-    half_read
+    partial_read
         .check_page(&store, &SHARDS, FLOOR, LIMIT, &page(&["a", "b"], true))
         .unwrap();
-    assert_found!(
-        half_read.check_end(&store, &[]),
+    assert_rejected!(
+        partial_read.check_end(&store, &[]),
         CheckError::NeverShown { .. }
     );
     let added = [store.shards[0][1].clone(), store.shards[1][1].clone()];
-    half_read
+    partial_read
         .check_end(&store, &added)
-        .expect("rows added since the read began need not be shown");
+        .expect("rows that were added since the read began may be missing");
 }
 
 #[test]
-fn wrong_totals_are_found() {
+fn wrong_totals_are_rejected() {
     let check = |response: &Value| check_totals(&store(), &SHARDS, FLOOR, response);
     let amount = |name: &str, field: &str| format!("/totals/amount/{name}/{field}");
     for (name, wrong) in [
@@ -270,8 +270,8 @@
         ("least", json!("1.26")),
         ("most", Value::Null),
     ] {
-        let response = planted(&totals(), &amount(name, "value"), wrong);
-        assert_found!(check(&response), CheckError::Figure { .. });
+        let response = with_value(&totals(), &amount(name, "value"), wrong);
+        assert_rejected!(check(&response), CheckError::Figure { .. });
     }
     for (name, wrong) in [
         ("sum", "at-least"),
@@ -279,8 +279,8 @@
         ("least", "at-most"),
         ("most", "overflown"),
     ] {
-        let response = planted(&totals(), &amount(name, "is"), wrong);
-        assert_found!(check(&response), CheckError::Bound { .. });
+        let response = with_value(&totals(), &amount(name, "is"), wrong);
+        assert_rejected!(check(&response), CheckError::Bound { .. });
     }
     for (name, wrong) in [
         ("sum", "exact"),
@@ -288,49 +288,49 @@
         ("least", "at-least"),
         ("most", "exact"),
     ] {
-        let response = planted(&partial_totals(), &amount(name, "is"), wrong);
-        assert_found!(check(&response), CheckError::Bound { .. });
+        let response = with_value(&partial_totals(), &amount(name, "is"), wrong);
+        assert_rejected!(check(&response), CheckError::Bound { .. });
     }
     for wrong in [json!("4.68"), json!("4.70"), Value::Null] {
-        let response = planted(&totals(), &amount("mean", "value"), wrong);
-        assert_found!(check(&response), CheckError::Mean { .. });
+        let response = with_value(&totals(), &amount("mean", "value"), wrong);
+        assert_rejected!(check(&response), CheckError::Mean { .. });
     }
-    let exact_mean = planted(&partial_totals(), &amount("mean", "is"), "exact");
-    assert_found!(check(&exact_mean), CheckError::Mean { .. });
+    let exact_mean = with_value(&partial_totals(), &amount("mean", "is"), "exact");
+    assert_rejected!(check(&exact_mean), CheckError::Mean { .. });
 }
 
 #[test]
-fn wrong_groups_are_found() {
+fn wrong_groups_are_rejected() {
     let check = |response: &Value| check_groups(&store(), &SHARDS, FLOOR, MAX_GROUPS, response);
-    assert_found!(
-        check(&planted(&groups(), "/groups", Value::Null)),
+    assert_rejected!(
+        check(&with_value(&groups(), "/groups", Value::Null)),
         CheckError::Absent { name: "groups" }
     );
-    let smaller = planted(&groups(), "/groups/0/of", "faro");
-    assert_found!(check(&smaller), CheckError::Groups { .. });
-    let none = planted(&groups(), "/groups", json!([]));
-    assert_found!(check(&none), CheckError::Groups { .. });
+    let smaller = with_value(&groups(), "/groups/0/of", "faro");
+    assert_rejected!(check(&smaller), CheckError::Groups { .. });
+    let none = with_value(&groups(), "/groups", json!([]));
+    assert_rejected!(check(&none), CheckError::Groups { .. });
     let first = groups()["groups"][0].clone();
-    let nameless = json!({"totals": group_figures("0.00", 0)});
-    let one_more = planted(&groups(), "/groups", json!([first, nameless]));
-    assert_found!(check(&one_more), CheckError::Groups { .. });
+    let unnamed = json!({"totals": group_figures("0.00", 0)});
+    let extra_group = with_value(&groups(), "/groups", json!([first, unnamed]));
+    assert_rejected!(check(&extra_group), CheckError::Groups { .. });
     let sum = "/groups/0/totals/amount/sum";
-    let figure_of_group = planted(&groups(), &format!("{sum}/value"), "14.99");
-    assert_found!(check(&figure_of_group), CheckError::Figure { .. });
-    let bound_of_group = planted(&groups(), &format!("{sum}/is"), "at-least");
-    assert_found!(check(&bound_of_group), CheckError::Bound { .. });
-    let figure_of_rest = planted(&groups(), "/rest/totals/amount/count/value", 1);
-    assert_found!(check(&figure_of_rest), CheckError::Figure { .. });
-    let without_rest = planted(&groups(), "/rest", Value::Null);
-    assert_found!(check(&without_rest), CheckError::Rest { .. });
-    assert_found!(
-        check_groups(&store(), &SHARDS, FLOOR, 3, &all_listed_and_a_rest()),
+    let figure_of_group = with_value(&groups(), &format!("{sum}/value"), "14.99");
+    assert_rejected!(check(&figure_of_group), CheckError::Figure { .. });
+    let bound_of_group = with_value(&groups(), &format!("{sum}/is"), "at-least");
+    assert_rejected!(check(&bound_of_group), CheckError::Bound { .. });
+    let figure_of_rest = with_value(&groups(), "/rest/totals/amount/count/value", 1);
+    assert_rejected!(check(&figure_of_rest), CheckError::Figure { .. });
+    let without_rest = with_value(&groups(), "/rest", Value::Null);
+    assert_rejected!(check(&without_rest), CheckError::Rest { .. });
+    assert_rejected!(
+        check_groups(&store(), &SHARDS, FLOOR, 3, &all_listed_with_rest()),
         CheckError::Rest { .. }
     );
 }
 
-/// All three groups by themselves, and a rest that nothing is in.
-fn all_listed_and_a_rest() -> Value {
+/// Returns groups of which all three are listed, with an empty rest that must be absent.
+fn all_listed_with_rest() -> Value {
     complete(json!({
         "groups": [
             {"of": "etna", "totals": group_figures("15.00", 2)},
