--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -1,5 +1,5 @@
-//! Two sites on loopback with the real program at both: a coordinator without replicas of its own, and a gateway that
-//! has all of them, with a link between that can be interrupted. What replicas received is on record.
+//! Two sites on loopback that run the real program: a coordinator without replicas of its own, and a gateway with all
+//! replicas, connected by a link that can be interrupted. All sub-requests that replicas receive are recorded.
 
 mod load;
 mod setup;
@@ -23,28 +23,28 @@
 use crate::sync::lock;
 use crate::{Service, ServiceDiscovery, member, membership};
 
-/// How long after a rejection a sub-request may still be on its way to a replica.
+/// The maximum time after a rejection within which a sub-request may still reach a replica.
 const IN_TRANSIT: Duration = Duration::from_millis(30);
 
-/// One more gateway to the same replicas.
+/// A second gateway to the same replicas.
 pub struct SecondGateway {
-    /// The process.
+    /// The process of the gateway.
     pub gateway: Service,
-    /// The link to it.
+    /// The proxy of the link to it.
     pub proxy: Proxy,
     _discovery: ServiceDiscovery,
 }
 
-/// How two sites are set up.
+/// The configuration of two sites.
 #[derive(Clone, Copy, Debug)]
 pub struct SitesConfig {
-    /// How long a session outlives its connection.
+    /// How long a session is kept after its connection is lost.
     pub session_timeout: Duration,
-    /// How long after its loss a link is reported as down.
+    /// The delay after which a lost link is reported as down.
     pub down_delay: Duration,
-    /// How long replicas take for a sub-request.
+    /// The time that a replica takes to respond to a sub-request.
     pub service_time: Duration,
-    /// There is a second gateway to the same replicas, over a link of its own.
+    /// Whether there is a second gateway to the same replicas, with its own link.
     pub second_gateway: bool,
 }
 
@@ -65,24 +65,24 @@
     replica: usize,
 }
 
-/// Two sites with a link between.
+/// Two sites connected by a link.
 pub struct Sites {
     /// The coordinator that is queried.
     pub local: Service,
     /// The gateway to the replicas.
     pub gateway: Service,
-    /// The link.
+    /// The proxy of the link.
     pub proxy: Proxy,
-    /// Where the gateway takes links.
+    /// The address on which the gateway accepts links.
     pub link_address: SocketAddr,
-    /// The other gateway, if there is one.
+    /// The second gateway, if configured.
     pub second: Option<SecondGateway>,
-    /// Where the replicas listen, by number.
+    /// The addresses of the replicas, by number.
     pub replicas: Vec<SocketAddr>,
     /// The gateway's service discovery.
     pub gateway_discovery: ServiceDiscovery,
     received: Arc<Mutex<Vec<Received>>>,
-    /// Replicas behind the link, as the coordinator last logged.
+    /// The number of replicas behind links that the coordinator logged last.
     remote_replicas: usize,
     queries: usize,
     _local_discovery: ServiceDiscovery,
@@ -93,7 +93,7 @@
     ///
     /// # Panics
     ///
-    /// If one cannot be started, or the replicas are not known in time.
+    /// If a process cannot be started, or the coordinator does not know the replicas in time.
     pub fn start(exe: &str, config: SitesConfig) -> Sites {
         let received = Arc::default();
         let replicas = start_replicas(config.service_time, &received);
@@ -137,28 +137,31 @@
         sites
     }
 
-    /// Waits until the coordinator knows so many replicas behind the link.
+    /// Waits until the coordinator knows this number of replicas behind links.
     ///
     /// # Panics
     ///
-    /// If it does not in time.
+    /// If it does not within the time limit.
     pub fn wait_for_remote_replicas(&mut self, count: usize) {
         while self.remote_replicas != count {
-            let line = self.local.next_log_line().expect("the link comes up again");
+            let line = self
+                .local
+                .next_log_line()
+                .expect("the coordinator logs the number of replicas behind links");
             if let Some((_, known)) = line.split_once("replicas behind links remote=") {
                 self.remote_replicas = known
                     .trim()
                     .parse()
-                    .expect("the log has a number of replicas");
+                    .expect("the log line contains a number of replicas");
             }
         }
     }
 
-    /// Closes the link for long enough that it is reported as down, and waits until it is up again.
+    /// Closes the link until it is reported as down, reopens it, and waits until it is up again.
     ///
     /// # Panics
     ///
-    /// If it is not in time.
+    /// If it is not up in time.
     pub fn reconnect(&mut self) {
         self.wait_for_remote_replicas(REPLICAS);
         self.proxy.set_upstream(None);
@@ -168,7 +171,7 @@
         self.wait_for_remote_replicas(REPLICAS);
     }
 
-    /// How many times each sub-request was received by a replica, by its id.
+    /// Returns how many times replicas received each sub-request, by id.
     pub fn executions(&self) -> BTreeMap<String, usize> {
         let mut executions = BTreeMap::new();
         for received in lock(&self.received).iter() {
@@ -179,16 +182,23 @@
 
     fn executions_of(&self, sub_request: &str) -> usize {
         let received = lock(&self.received);
-        received.iter().filter(|one| one.id == sub_request).count()
+        received
+            .iter()
+            .filter(|entry| entry.id == sub_request)
+            .count()
     }
 
-    /// How many sub-requests a replica has received.
+    /// Returns how many sub-requests a replica has received.
     pub fn received_by(&self, replica: usize) -> usize {
         let received = lock(&self.received);
-        received.iter().filter(|one| one.replica == replica).count()
+        received
+            .iter()
+            .filter(|entry| entry.replica == replica)
+            .count()
     }
 
-    /// Makes a query of one shard, and checks its response against what was executed.
+    /// Sends a query for one shard, and checks its response against the executed sub-requests. Violations are added to
+    /// `verdict`, prefixed with `what`.
     ///
     /// # Panics
     ///
@@ -200,7 +210,7 @@
         let status = response.map(|response| response.status);
         verdict.count(status);
         if status == Some(503) {
-            // If its sub-request was sent all the same, it has arrived after this.
+            // A sub-request that was sent in spite of the rejection has arrived after this time.
             sleep(IN_TRANSIT);
         }
         let end = QueryEnd {
@@ -208,26 +218,31 @@
             status,
             executions: self.executions_of(&format!("{id}.1")),
         };
-        for why in end.false_status().into_iter().chain(end.ran_twice()) {
+        for why in end
+            .status_mismatch()
+            .into_iter()
+            .chain(end.duplicate_execution())
+        {
             verdict.violations.push(format!(
-                "{what}: {id} {why} (answer {status:?}, ran {})",
+                "{what}: {id} {why} (status {status:?}, {} executions)",
                 end.executions
             ));
         }
     }
 
-    /// How many bytes one complete exchange takes from the connection on, to the gateway and back.
+    /// Returns how many bytes a new connection of the link carries in each direction for one complete query, including
+    /// the handshake.
     ///
     /// # Panics
     ///
     /// If the link does not come up again.
     pub fn measure_exchange(&mut self) -> ByDirection<usize> {
         self.reconnect();
-        self.query(ORDER, &mut Verdict::default(), "whole");
+        self.query(ORDER, &mut Verdict::default(), "uninterrupted");
         self.proxy.forwarded()
     }
 
-    /// Makes a non-idempotent query with the link closed after so many bytes.
+    /// Sends a non-idempotent query on a new connection of the link that is closed at a byte limit.
     ///
     /// # Panics
     ///
@@ -236,15 +251,15 @@
         let ByteLimit { direction, bytes } = limit;
         self.proxy.disconnect_next_after(direction, bytes);
         self.reconnect();
-        let what = format!("cut {direction:?} after {bytes} bytes");
+        let what = format!("link closed after {bytes} bytes {direction:?}");
         self.query(ORDER, verdict, &what);
-        // Whatever was late has arrived by now.
+        // Delayed sub-requests have arrived after this time.
         sleep(Duration::from_millis(100));
         let executions = self.executions();
-        let twice = executions
+        let duplicates = executions
             .iter()
             .filter(|(id, count)| id.starts_with(ORDER) && **count > 1)
-            .map(|(id, count)| format!("{id} ran {count} times"));
-        verdict.violations.extend(twice);
+            .map(|(id, count)| format!("{id} was executed {count} times"));
+        verdict.violations.extend(duplicates);
     }
 }
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -1,4 +1,4 @@
-//! Steady load on two sites while faults are injected.
+//! Steady load on two sites, and faults of their link.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::channel;
@@ -11,14 +11,14 @@
 use crate::Client;
 use crate::proxy::{ByteLimit, Direction};
 
-/// How much later than the soft deadline a response may arrive on a busy machine.
+/// The tolerance after the soft deadline within which a response may arrive, since the machine may be busy.
 const LATENESS: Duration = Duration::from_millis(1_500);
-/// How long after the last response a sub-request may still be on its way to a replica.
+/// The maximum time after the last response within which a sub-request may still reach a replica.
 const IN_TRANSIT: Duration = Duration::from_millis(200);
 
-/// With a shorter session time-out, a session does not outlive its connection: it is without resume.
+/// With a session time-out shorter than this, sessions are not resumed after their connection is lost.
 const SHORT_SESSION_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long after its loss a link without resume is reported as down.
+/// The delay after which a lost link is reported as down if sessions are not resumed.
 const SHORT_DOWN_DELAY: Duration = Duration::from_millis(10);
 
 /// The result of one query.
@@ -28,17 +28,17 @@
     pub id: String,
     /// The index that was queried.
     pub index: &'static str,
-    /// When the query was to be made, from the beginning of the run.
+    /// When the query was scheduled, relative to the start of the run.
     pub scheduled_at: Duration,
     /// The HTTP status; `None` if the connection ended without a response.
     pub status: Option<u16>,
-    /// The time from then to the response.
+    /// The time from the scheduled start to the response.
     pub latency: Duration,
 }
 
 impl QueryResult {
-    /// Makes a query on a connection of its own.
-    fn of(
+    /// Sends a query on a new connection and waits for its end.
+    fn query(
         address: SocketAddr,
         id: String,
         index: &'static str,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What is wrong with the result, if its sub-request was executed so many times.
+    /// Returns how the result violates the rules, given the number of executions of its sub-request.
     fn violation(&self, executions: usize) -> Option<&'static str> {
         let end = QueryEnd {
             index: self.index,
@@ -65,36 +65,36 @@
             executions,
         };
         let is_late = self.latency > SOFT_DEADLINE + LATENESS;
-        end.false_status()
-            .or_else(|| end.ran_twice())
-            .or_else(|| is_late.then_some("answered late"))
+        end.status_mismatch()
+            .or_else(|| end.duplicate_execution())
+            .or_else(|| is_late.then_some("got a late response"))
     }
 }
 
-/// Queries at a steady rate.
+/// The configuration of a steady load.
 #[derive(Clone, Debug)]
 pub struct SteadyLoad {
-    /// What the trace ids begin with; no other load on the same sites has it.
+    /// The prefix of the trace ids; it must be unique among the loads on the same sites.
     pub tag: String,
-    /// The indexes that are queried, which take turns.
+    /// The indexes that are queried, in turn.
     pub indexes: Vec<&'static str>,
-    /// The time between two queries.
+    /// The interval between queries.
     pub interval: Duration,
-    /// How long queries are made.
+    /// The duration of the load.
     pub duration: Duration,
 }
 
-/// What became of a load.
+/// The outcome of a load.
 #[derive(Debug)]
 pub struct LoadReport {
-    /// What was counted, and the violations.
+    /// The counts of outcomes, and the violations.
     pub verdict: Verdict,
     /// The result of each query, in the order of the responses.
     pub results: Vec<QueryResult>,
 }
 
-/// Makes queries steadily while `inject` injects faults into the link, and checks each against what was executed and
-/// its deadline.
+/// Sends queries at a steady rate while `inject` injects faults into the link. Checks each result against the executed
+/// sub-requests and the soft deadline.
 ///
 /// # Panics
 ///
@@ -113,14 +113,14 @@
         duration,
     } = load;
     let count = duration.as_millis() / interval.as_millis().max(1);
-    let count = u32::try_from(count).expect("a run has fewer queries");
+    let count = u32::try_from(count).expect("a run has fewer than 2^32 queries");
     let starter = spawn(move || {
         for (n, index) in (0..count).zip(indexes.into_iter().cycle()) {
             let scheduled_at = interval * n;
             sleep((started_at + scheduled_at).saturating_duration_since(Instant::now()));
             let (result_sender, id) = (result_sender.clone(), format!("{tag}-{n}"));
             spawn(move || {
-                result_sender.send(QueryResult::of(
+                result_sender.send(QueryResult::query(
                     address,
                     id,
                     index,
@@ -158,15 +158,16 @@
         let executed = executions.get(&sub_request).copied().unwrap_or_default();
         if let Some(why) = result.violation(executed) {
             verdict.violations.push(format!(
-                "{id} ({index}) {why}: {status:?}, ran {executed}, {latency:?}"
+                "{id} ({index}) {why}: status {status:?}, {executed} executions, latency {latency:?}"
             ));
         }
     }
     verdict
 }
 
-/// Closes the link in a non-idempotent exchange after every `step`th byte in both directions, with several pairs of
-/// sites at once.
+/// Repeats a non-idempotent query, each time with the link closed at another byte of the exchange: at every `step`th
+/// position in both directions. The positions are divided among at most `at_once` pairs of sites, which run
+/// concurrently.
 ///
 /// # Panics
 ///
@@ -177,7 +178,7 @@
     step: usize,
     at_once: usize,
 ) -> Verdict {
-    // Without resume a short interruption is to be seen as well.
+    // Without resumption, a short interruption must be reported as well.
     let config = SitesConfig {
         session_timeout,
         down_delay: if session_timeout < SHORT_SESSION_TIMEOUT {
@@ -188,7 +189,7 @@
         ..SitesConfig::default()
     };
     let exchange = Sites::start(exe, config).measure_exchange();
-    // A position beyond the exchange meets the heartbeats after it, and does not interrupt the exchange.
+    // A limit beyond the end of the exchange is reached by the heartbeats after it, and does not interrupt it.
     let limit = |direction| move |bytes| ByteLimit { direction, bytes };
     let limits: Vec<ByteLimit> = (0..=exchange.to_upstream)
         .map(limit(Direction::ToUpstream))
@@ -202,15 +203,15 @@
             spawn(move || disconnect_at_each(&exe, config, &limits))
         })
         .collect();
-    let mut sum = Verdict::default();
+    let mut total = Verdict::default();
     for thread in threads {
-        sum.add(
+        total.add(
             thread
                 .join()
                 .expect("the thread of a pair of sites does not panic"),
         );
     }
-    sum
+    total
 }
 
 fn disconnect_at_each(exe: &str, config: SitesConfig, limits: &[ByteLimit]) -> Verdict {
--- a/crates/linenthread-fakes/src/sites/setup.rs
+++ b/crates/linenthread-fakes/src/sites/setup.rs
@@ -1,4 +1,4 @@
-//! What two sites consist of: their replicas, their files, and the gateways.
+//! Starts the parts of two sites: replicas, configuration files, and gateways.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex};
@@ -18,18 +18,18 @@
 
 /// The secret that both sites share.
 const SECRET: &str = "a secret between two sites\n";
-/// Replicas behind the gateway.
+/// The number of replicas behind the gateway.
 pub(super) const REPLICAS: usize = 2;
-/// Shards of the indexes.
+/// The number of shards of each index.
 const SHARDS: usize = 4;
-/// Sockets of each process: room for a thousand clients at once.
+/// The socket limit of each process: enough for a thousand concurrent clients.
 const SOCKETS: usize = 4_096;
 /// The soft deadline of queries.
 pub(super) const SOFT_DEADLINE: Duration = Duration::from_millis(1_500);
-/// The program's arguments at either site.
+/// The arguments of the program at both sites.
 pub(super) const ARGUMENTS: [&str; 2] = ["--installation", "installation.xml"];
 
-/// Starts replicas that respond after a while; their addresses.
+/// Starts replicas that respond after the service time and record the sub-requests they receive. Returns their addresses.
 pub(super) fn start_replicas(
     service_time: Duration,
     received: &Arc<Mutex<Vec<Received>>>,
@@ -52,7 +52,7 @@
     addresses
 }
 
-/// The contents of `config.json` of a site.
+/// Returns the contents of `config.json` of a site.
 pub(super) fn settings(discovery: &ServiceDiscovery, known: &str) -> Value {
     let indexes = find_and_order(SOFT_DEADLINE);
     let mut config = config_of(discovery.address, known, &indexes, REPLICAS, SHARDS);
@@ -60,7 +60,7 @@
     config
 }
 
-/// A folder with a deploy file that has these elements.
+/// Creates a folder with the link's secret and a deploy file that contains these elements.
 pub(super) fn folder_with(elements: &str) -> TempDir {
     let folder = temporary_folder();
     write_file(&folder.path().join("link.key"), SECRET);
@@ -69,18 +69,18 @@
     folder
 }
 
-/// A gateway, and a proxy in front of where it takes links.
+/// A gateway, and a proxy in front of the address on which it accepts links.
 pub(super) struct Gateway {
     pub(super) service: Service,
     pub(super) proxy: Proxy,
-    /// Where the gateway takes links.
+    /// The address on which the gateway accepts links.
     pub(super) link_address: SocketAddr,
 }
 
 /// Starts a gateway to the replicas that service discovery lists.
 pub(super) fn start_gateway(exe: &str, discovery: &ServiceDiscovery, known: &str) -> Gateway {
-    // A port that was free a moment ago, on an address that nothing else here binds: on 127.0.0.1 any connection of
-    // another test may have taken it meanwhile, and the gateway fails to start.
+    // The gateway binds a port that was just found to be free. The address is used by nothing else in the tests: on
+    // 127.0.0.1, a connection of another test could take the port in between, and the gateway would not start.
     let link_address = loopback::address_of(
         &TcpListener::bind((unused_loopback(), 0)).expect("an unused address has a free port"),
     );
@@ -93,7 +93,7 @@
     }
 }
 
-/// The deploy file's elements for links to gateways.
+/// Returns the elements of the deploy file for links to gateways.
 pub(super) fn peer_elements<'p>(
     config: &SitesConfig,
     proxies: impl Iterator<Item = &'p Proxy>,
--- a/crates/linenthread-fakes/src/sites/verdict.rs
+++ b/crates/linenthread-fakes/src/sites/verdict.rs
@@ -1,19 +1,19 @@
-//! What became of queries over a link, and what of it cannot be true.
+//! The outcomes of queries over a link, and the checks of each against the executed sub-requests.
 
 use crate::program::ORDER;
 
-/// What became of the queries of a run.
+/// The outcomes of the queries of a run.
 #[derive(Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Queries that were checked.
+    /// The number of queries that were checked.
     pub checked: usize,
-    /// Those that were answered.
+    /// The number of queries that succeeded.
     pub succeeded: usize,
-    /// Those that were rejected: nothing was executed.
+    /// The number of queries that were rejected, so that nothing was executed.
     pub rejected: usize,
-    /// Those that failed: what was executed is unknown.
+    /// The number of queries that failed, so that it is unknown what was executed.
     pub failed: usize,
-    /// Violations of the rules.
+    /// The violations of the rules.
     pub violations: Vec<String>,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The end of a query of one shard, and how many times its sub-request was executed.
+/// The end of a query for one shard, and how many times its sub-request was executed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QueryEnd<'q> {
     /// The index that was queried.
@@ -48,19 +48,21 @@
 }
 
 impl QueryEnd<'_> {
-    /// Why the status is not true, if it is not.
-    pub(super) fn false_status(&self) -> Option<&'static str> {
+    /// Returns how the status contradicts the executions, if it does.
+    pub(super) fn status_mismatch(&self) -> Option<&'static str> {
         match self.status {
-            Some(200) if self.executions == 0 => Some("answered, and did not run"),
-            Some(503) if self.is_non_idempotent() && self.executions > 0 => Some("nacked, and ran"),
+            Some(200) if self.executions == 0 => Some("succeeded, but was not executed"),
+            Some(503) if self.is_non_idempotent() && self.executions > 0 => {
+                Some("was rejected, but was executed")
+            }
             Some(200 | 502 | 503) => None,
-            _ => Some("no final answer"),
+            _ => Some("got no final response"),
         }
     }
 
-    /// Whether a sub-request that may run only once ran more often.
-    pub(super) fn ran_twice(&self) -> Option<&'static str> {
-        (self.is_non_idempotent() && self.executions > 1).then_some("ran twice")
+    /// Returns a violation if a non-idempotent sub-request was executed more than once.
+    pub(super) fn duplicate_execution(&self) -> Option<&'static str> {
+        (self.is_non_idempotent() && self.executions > 1).then_some("was executed more than once")
     }
 
     fn is_non_idempotent(&self) -> bool {
