--- a/crates/linenthread-fakes/src/rig.rs
+++ b/crates/linenthread-fakes/src/rig.rs
@@ -1,11 +1,13 @@
-//! Several processes of the program on loopback, in zones, with fake replicas and clients, a proxy on every directed
-//! pair, and one checker of the rules for the whole fleet.
+//! Several processes of the program on loopback, in zones, with fake replicas and clients, a proxy for every directed
+//! pair, and one check of the rules for the whole fleet.
 //!
-//! Everything waits for an event with a bound that names what was awaited; no pause proves anything. Methods panic
-//! if that bound is exceeded. Processes are numbered from 0; replicas follow them in the numbers of the network.
+//! All waits are for an event, with a time limit; no result relies on a fixed pause. Methods panic when the limit is
+//! exceeded, with a message that names the event. Processes are numbered from 0; in the numbering of the network,
+//! replicas follow the processes.
 //!
-//! The files, by concern: `config` and `layout` (what there is, and where), `setup`, one `process` with its `log`, the
-//! `process_control` of all, the `clients` with their `load`, what tests wait for (`waits`, `route`), and `check`.
+//! Submodules: `config` and `layout` (the size of a rig, and its addresses and files), `setup`, one `process` with its
+//! `log`, `process_control` for all processes, `clients` and their `load`, the events that tests wait for (`waits`,
+//! `route`), and `check`.
 
 mod check;
 mod clients;
@@ -36,19 +38,19 @@
 use crate::network::Network;
 use crate::sync::lock;
 
-/// In the log line of a process that uses another routing table; the line shows it.
+/// Part of the log line that a process writes when it starts to use another routing table. The line contains the table.
 pub(crate) const TABLE_IN_USE: &str = "routing table in use";
-/// In the log line of a process that was the leader until then.
+/// Part of the log line that a process writes when it stops being the leader.
 pub(crate) const LEADERSHIP_LOST: &str = "lost leadership";
 
-/// How often a condition without an event of its own is checked.
+/// The polling interval for conditions that are not signalled by an event.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Log lines of each process that are shown when a test fails.
+/// How many log lines of each process are printed when a test fails.
 const SHOWN_LINES: usize = 40;
 
-/// Several processes of the program with faults between them.
+/// Several processes of the program, with faults injected between them.
 pub struct Rig {
-    /// All connections of the processes, and their faults.
+    /// The network between the processes and the replicas, and its faults.
     pub network: Network,
     config: RigConfig,
     exe: String,
@@ -59,11 +61,11 @@
 }
 
 impl Rig {
-    /// Sets all up; no process runs yet.
+    /// Sets up the network, the replicas and the files of the processes, without starting a process.
     ///
     /// # Panics
     ///
-    /// If an address or a folder of the rig is not to be had.
+    /// If an address is in use, or a folder cannot be created.
     pub fn new(exe: &str, config: RigConfig) -> Rig {
         let layout = Layout::new(&config);
         let network = Network::default();
@@ -96,11 +98,11 @@
         }
     }
 
-    /// Sets all up, starts all processes, and waits until all of them use a routing table.
+    /// Sets up a rig, starts all processes, and waits until each of them uses a routing table.
     ///
     /// # Panics
     ///
-    /// If one cannot be started, or does not get that far in time.
+    /// If a process cannot be started, or does not use a routing table in time.
     pub fn start_all(exe: &str, config: RigConfig) -> Rig {
         let mut rig = Rig::new(exe, config);
         for process in rig.all() {
@@ -112,17 +114,17 @@
         rig
     }
 
-    /// How many processes there are.
+    /// Returns the number of processes.
     pub fn count(&self) -> usize {
         self.processes.len()
     }
 
-    /// The numbers of all processes.
+    /// Returns the numbers of all processes.
     pub fn all(&self) -> Vec<usize> {
         (0..self.count()).collect()
     }
 
-    /// The numbers in the network of a zone's coordinators and replicas.
+    /// Returns the network's numbers of the coordinators and the replicas in a zone.
     pub fn zone(&self, zone: usize) -> Vec<usize> {
         let zones = self.config.zones.len();
         let replicas = (0..self.config.replica_count())
@@ -134,7 +136,7 @@
             .collect()
     }
 
-    /// The numbers of a zone's coordinators.
+    /// Returns the numbers of the coordinators in a zone.
     pub fn coordinators(&self, zone: usize) -> Vec<usize> {
         self.all()
             .into_iter()
--- a/crates/linenthread-fakes/src/rig/check.rs
+++ b/crates/linenthread-fakes/src/rig/check.rs
@@ -1,4 +1,4 @@
-//! Checks what clients received against what replicas executed.
+//! Checks the responses that clients received against the sub-requests that replicas executed.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use super::layout::SOFT_DEADLINE;
 use crate::PATIENCE;
 
-/// How much later than the soft deadline a response may arrive.
+/// The tolerance after the soft deadline within which a response may arrive.
 const LATENESS: Duration = Duration::from_secs(PATIENCE.as_secs() / 5);
 
-/// A sub-request that a replica began to execute.
+/// The execution of a sub-request by a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Execution {
     /// The trace id of the query.
@@ -21,14 +21,16 @@
     pub replica: usize,
 }
 
-/// How many times each shard of a query was executed.
+/// The number of executions of each query on each shard.
 struct ExecutionCounts<'e>(BTreeMap<(&'e str, usize), usize>);
 
 impl<'e> ExecutionCounts<'e> {
     fn new(executed: &'e [Execution]) -> Self {
         let mut counts = BTreeMap::new();
-        for one in executed {
-            *counts.entry((one.query.as_str(), one.shard)).or_default() += 1;
+        for execution in executed {
+            *counts
+                .entry((execution.query.as_str(), execution.shard))
+                .or_default() += 1;
         }
         ExecutionCounts(counts)
     }
@@ -38,7 +40,7 @@
     }
 }
 
-/// Checks the rules for all queries; the violations.
+/// Checks the rules for all queries, and returns the violations.
 pub fn check(outcomes: &[QueryOutcome], executed: &[Execution]) -> Vec<String> {
     let counts = ExecutionCounts::new(executed);
     let mut violations = Vec::new();
@@ -50,18 +52,20 @@
     violations
 }
 
-/// Rule 1: one final response in time from a process that is up.
+/// Rule 1: a process that stays up sends one final response in time.
 fn check_response(outcome: &QueryOutcome, violations: &mut Vec<String>) {
     let QueryOutcome { id, latency, .. } = outcome;
-    if outcome.alive && outcome.status.is_none() {
-        violations.push(format!("rule 1: {id} got no answer in {latency:?}"));
+    if outcome.process_stayed_up && outcome.status.is_none() {
+        violations.push(format!("rule 1: {id} got no response within {latency:?}"));
     }
-    if outcome.alive && *latency > SOFT_DEADLINE + LATENESS {
-        violations.push(format!("rule 1: {id} was answered after {latency:?}"));
+    if outcome.process_stayed_up && *latency > SOFT_DEADLINE + LATENESS {
+        violations.push(format!(
+            "rule 1: {id} got a late response after {latency:?}"
+        ));
     }
 }
 
-/// Rule 2: no effect twice, and a rejection only if nothing was executed.
+/// Rule 2: a non-idempotent query is executed at most once on each shard, and not at all if it is rejected.
 fn check_idempotency(
     outcome: &QueryOutcome,
     counts: &ExecutionCounts,
@@ -76,14 +80,19 @@
         shards.any(|shard| counts.of(id, *shard) > times)
     };
     if executed_more_than(1) {
-        violations.push(format!("rule 2: a once-only part of {id} ran twice"));
+        violations.push(format!(
+            "rule 2: a non-idempotent sub-request of {id} was executed more than once"
+        ));
     }
     if outcome.status == Some(503) && executed_more_than(0) {
-        violations.push(format!("rule 2: {id} was nacked, and a part of it ran"));
+        violations.push(format!(
+            "rule 2: {id} was rejected, but one of its sub-requests was executed"
+        ));
     }
 }
 
-/// Rule 5: complete only if all shards are there, and only values that were executed.
+/// Rule 5: a response is complete only if it has values of all shards, and it has only values of shards that executed
+/// the query.
 fn check_completeness(
     outcome: &QueryOutcome,
     counts: &ExecutionCounts,
@@ -100,12 +109,12 @@
         .collect();
     if outcome.complete && !missing.is_empty() {
         violations.push(format!(
-            "rule 5: {id} is said to be whole and lacks {missing:?}"
+            "rule 5: {id} is reported as complete, but lacks the shards {missing:?}"
         ));
     }
     if let Some(shard) = found.iter().find(|shard| counts.of(id, **shard) == 0) {
         violations.push(format!(
-            "rule 5: {id} has a value of shard {shard}, which never ran"
+            "rule 5: {id} has a value of shard {shard}, which was never executed"
         ));
     }
 }
--- a/crates/linenthread-fakes/src/rig/clients.rs
+++ b/crates/linenthread-fakes/src/rig/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a rig, which query one process each, and what became of their queries.
+//! Clients of a rig, each of which queries one process, and the outcomes of their queries.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,23 +16,23 @@
 use crate::sync::lock;
 use crate::{Client, ClientResponse, request};
 
-/// The placement key in requests made by [`request`].
-const DEFAULT_KEY: &str = "7f3a9c21e0b4d655";
-/// Shards of an idempotent query.
-const SHARDS_OF_QUERY: usize = 3;
-/// The distance between those.
+/// The placement key in requests created by [`request`].
+const DEFAULT_PLACEMENT_KEY: &str = "7f3a9c21e0b4d655";
+/// The number of shards of an idempotent query.
+const SHARDS_PER_QUERY: usize = 3;
+/// The distance between the shards of an idempotent query.
 const SHARD_STRIDE: usize = 5;
-/// Of so many queries one is non-idempotent.
-const ONE_NON_IDEMPOTENT_OF: u64 = 4;
+/// On average, one in this many queries is non-idempotent.
+const QUERIES_PER_NON_IDEMPOTENT: u64 = 4;
 
-/// What became of one query of a client.
+/// The outcome of one query of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryOutcome {
     /// The trace id.
     pub id: String,
     /// The zone of the process that was queried.
     pub zone: usize,
-    /// The query may run only once.
+    /// Whether the query must be executed at most once.
     pub non_idempotent: bool,
     /// The shards that were queried.
     pub shards: Vec<usize>,
@@ -40,18 +40,18 @@
     pub status: Option<u16>,
     /// How long the client waited.
     pub latency: Duration,
-    /// When the query was made.
+    /// When the query was sent.
     pub sent_at: Instant,
-    /// The response says that it is complete.
+    /// Whether the response is reported as complete.
     pub complete: bool,
-    /// Shards of which the response has a value.
+    /// The shards of which the response has a value.
     pub found: Vec<usize>,
-    /// The process that was queried was up from beginning to end.
-    pub alive: bool,
+    /// Whether the process was up both before and after the query.
+    pub process_stayed_up: bool,
 }
 
 impl QueryOutcome {
-    /// Whether the query was answered.
+    /// Reports whether the query succeeded.
     pub fn succeeded(&self) -> bool {
         self.status == Some(200)
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// The shard of a value in a response; a value that is another shard's does not count.
+/// Returns the shard of a value in a response, or `None` if the value belongs to another shard.
 fn found_shard(value: &Value) -> Option<usize> {
     let shard = usize::try_from(value["bucket"].as_u64()?).ok()?;
     value
@@ -74,12 +74,12 @@
         .then_some(shard)
 }
 
-/// State that the threads of all clients share with the rig.
+/// The state that the rig shares with the threads of all clients.
 #[derive(Clone, Default)]
 pub(super) struct SharedState {
     pub(super) outcomes: Arc<Mutex<Vec<QueryOutcome>>>,
     pub(super) stopping: Arc<AtomicBool>,
-    /// Which processes are expected to answer.
+    /// Whether each process is expected to respond.
     pub(super) up: Arc<Mutex<Vec<bool>>>,
 }
 
@@ -94,7 +94,7 @@
 }
 
 impl QueryLoop {
-    /// Queries one after another, until the rig stops.
+    /// Starts a thread that sends queries one after another until the rig stops.
     pub(super) fn start(mut self) -> JoinHandle<()> {
         spawn(move || {
             let mut number = 0;
@@ -115,14 +115,14 @@
         lock(&self.shared.up)[self.process]
     }
 
-    /// Makes a random query on a connection of its own.
+    /// Sends a random query on a new connection and waits for its outcome.
     fn query(&mut self, id: String) -> QueryOutcome {
-        let non_idempotent = self.rng.rand_range(0..ONE_NON_IDEMPOTENT_OF) == 0;
+        let non_idempotent = self.rng.rand_range(0..QUERIES_PER_NON_IDEMPOTENT) == 0;
         let first = random_index(&mut self.rng, SHARDS);
         let shards = if non_idempotent {
             vec![first]
         } else {
-            (0..SHARDS_OF_QUERY)
+            (0..SHARDS_PER_QUERY)
                 .map(|k| (first + k * SHARD_STRIDE) % SHARDS)
                 .collect()
         };
@@ -137,11 +137,11 @@
             sent_at,
             complete: false,
             found: Vec::new(),
-            alive: true,
+            process_stayed_up: true,
         };
         self.exchange(&mut outcome);
         outcome.latency = sent_at.elapsed();
-        outcome.alive = self.is_up();
+        outcome.process_stayed_up = self.is_up();
         outcome
     }
 
@@ -150,9 +150,10 @@
             return;
         };
         let index = if outcome.non_idempotent { ORDER } else { FIND };
-        // A key for each query, so that all replicas are used.
+        // Each query has its own placement key, so that all replicas are used.
         let key = format!("{:016x}", fnv1a_64(outcome.id.as_bytes()));
-        let request = request(index, &outcome.id, &outcome.shards).replace(DEFAULT_KEY, &key);
+        let request =
+            request(index, &outcome.id, &outcome.shards).replace(DEFAULT_PLACEMENT_KEY, &key);
         if client.try_send(&request)
             && let Some(response) = client.response()
         {
--- a/crates/linenthread-fakes/src/rig/config.rs
+++ b/crates/linenthread-fakes/src/rig/config.rs
@@ -1,24 +1,24 @@
-//! How large a rig is.
+//! The configuration of a rig.
 
-/// A zone.
+/// A zone of a rig.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Zone {
-    /// Its name.
+    /// The name of the zone.
     pub name: &'static str,
-    /// The region that it is in.
+    /// The region that contains it.
     pub region: &'static str,
 }
 
-/// How large a rig is.
+/// The size of a rig, and the seed of its random numbers.
 #[derive(Clone, Debug)]
 pub struct RigConfig {
     /// The zones, by number.
     pub zones: Vec<Zone>,
-    /// Coordinators in each zone.
+    /// The number of coordinators in each zone.
     pub coordinators: usize,
-    /// Replicas in each zone.
+    /// The number of replicas in each zone.
     pub replicas: usize,
-    /// How many of the first coordinators are voters.
+    /// The number of voters: the coordinators with the lowest numbers.
     pub voters: usize,
     /// The seed of all random numbers.
     pub seed: u64,
--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -10,29 +10,29 @@
 use crate::program::{config_of, find_and_order};
 use crate::service_discovery::{member, membership};
 
-/// Shards of the rig's indexes.
+/// The number of shards of each index.
 pub(super) const SHARDS: usize = 12;
 /// The soft deadline of a query.
 pub(super) const SOFT_DEADLINE: Duration = Duration::from_millis(1_500);
 /// The secret that all processes of a rig share.
 pub(super) const FLEET_KEY: &str = "a secret of the rig's fleet\n";
-/// The least fleet size that a deploy file may give.
+/// The minimum fleet size that a deploy file accepts.
 const MIN_MEMBERS: usize = 3;
 
-/// First port on which processes take messages of the fleet.
+/// The first port on which processes listen for messages of the fleet.
 const FLEET_LISTEN_PORT: usize = 7_100;
-/// First port of the proxies in front of those.
+/// The first port of the proxies in front of the fleet ports.
 const FLEET_PROXY_PORT: usize = 7_300;
-/// First port on which processes take queries.
+/// The first port on which processes listen for queries.
 const HTTP_PORT: usize = 8_000;
-/// First port of the proxies between two processes.
+/// The first port of the proxies between two processes.
 const PAIR_PROXY_PORT: usize = 10_000;
-/// First port of the proxies between a process and a replica.
+/// The first port of the proxies between a process and a replica.
 const REPLICA_PROXY_PORT: usize = 20_000;
-/// Ports for the peers of one process.
+/// The number of proxy ports that are reserved for each process.
 const PORTS_PER_PROCESS: usize = 100;
 
-/// Where everything of a rig listens, and what it is called.
+/// The addresses, names and file contents of a rig's processes.
 pub(super) struct Layout<'c> {
     config: &'c RigConfig,
     ip: IpAddr,
@@ -78,7 +78,7 @@
         format!("{zone}-{}", process / self.config.zones.len())
     }
 
-    /// The membership that a process gets from service discovery: each replica behind its proxy.
+    /// Returns the membership that a process receives from service discovery, with the proxy address of each replica.
     pub(super) fn known_replicas(&self, process: usize) -> String {
         let zones = &self.config.zones;
         let members = (0..self.config.replica_count()).map(|replica| {
@@ -89,7 +89,7 @@
         membership(1, true, members.collect())
     }
 
-    /// The contents of `config.json` of a process.
+    /// Returns the contents of `config.json` of a process.
     pub(super) fn settings(&self, process: usize, discovery: SocketAddr, known: &str) -> Value {
         let indexes = find_and_order(SOFT_DEADLINE);
         let replicas = self.config.replica_count();
@@ -118,7 +118,7 @@
         )
     }
 
-    /// The contents of `installation.xml` of a process.
+    /// Returns the contents of `installation.xml` of a process.
     pub(super) fn installation(&self, process: usize) -> String {
         let voters: String = (0..self.config.voters)
             .map(|voter| self.voter_element(process, voter))
--- a/crates/linenthread-fakes/src/rig/load.rs
+++ b/crates/linenthread-fakes/src/rig/load.rs
@@ -1,4 +1,4 @@
-//! The clients of a rig, and what became of their queries.
+//! Load on a rig: starts clients, and evaluates their queries and the traffic between zones.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -13,27 +13,27 @@
 use crate::PATIENCE;
 use crate::sync::lock;
 
-/// Outcomes that are shown when clients are not served.
+/// How many outcomes are shown when a wait for successful queries fails.
 const SHOWN_OUTCOMES: usize = 12;
-/// Replica groups that hold a shard.
+/// The number of replicas that hold each shard.
 const REPLICAS_PER_SHARD: usize = 2;
 
-/// The sub-requests that were executed since some moment, by zones.
+/// The sub-requests executed since a starting point, counted by pair of zones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// How many there were from the zone of the client to the zone of the replica.
+    /// The number of sub-requests from the zone of the client to the zone of the replica.
     pub sub_requests: BTreeMap<ZonePair, usize>,
-    /// How many left a zone that holds their shard.
+    /// The number of sub-requests sent to another zone although the client's zone holds the shard.
     pub avoidable: usize,
 }
 
 impl Traffic {
-    /// How many sub-requests there were.
+    /// Returns the number of sub-requests.
     pub fn total(&self) -> usize {
         self.sub_requests.values().sum()
     }
 
-    /// How many there were from clients of one zone to replicas of another.
+    /// Returns the number of sub-requests from clients in one zone to replicas in another.
     pub fn between(&self, from: usize, to: usize) -> usize {
         let zones = ZonePair { from, to };
         self.sub_requests.get(&zones).copied().unwrap_or_default()
@@ -41,12 +41,12 @@
 }
 
 impl Rig {
-    /// Sets whether clients query a process, and expect responses of it: not while it is stopped.
+    /// Sets whether clients query a process and expect responses from it. Must be false while the process is stopped.
     pub fn set_queried(&self, process: usize, queried: bool) {
         lock(&self.shared.up)[process] = queried;
     }
 
-    /// Starts a client of each process, with so many queries a second, one after another.
+    /// Starts one client for each process. Each sends its queries sequentially, at most `per_second` per second.
     pub fn start_clients(&mut self, per_second: u64) {
         for (number, process) in self.processes.iter().enumerate() {
             let client = QueryLoop {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How many queries have succeeded so far.
+    /// Returns how many queries have succeeded so far.
     pub fn succeeded(&self) -> usize {
         let outcomes = lock(&self.shared.outcomes);
         outcomes
@@ -70,12 +70,12 @@
             .count()
     }
 
-    /// Waits until the last so many queries of each of these zones' clients have succeeded, of those made from now
-    /// on; how long that took.
+    /// Waits until, in each of these zones, the last `in_a_row` queries sent since this call have succeeded. Queries to
+    /// processes that did not stay up are not counted. Returns how long it took.
     ///
     /// # Panics
     ///
-    /// If they do not in time.
+    /// If that does not happen within four times [`PATIENCE`].
     pub fn wait_until_serving(&self, zones: &[usize], in_a_row: usize) -> Duration {
         let since = Instant::now();
         while since.elapsed() < 4 * PATIENCE {
@@ -92,25 +92,29 @@
             .take(SHOWN_OUTCOMES)
             .map(|outcome| (outcome.zone, outcome.status, outcome.non_idempotent))
             .collect();
-        panic!("service did not become whole in zones {zones:?}; the last: {last:?}");
+        panic!(
+            "queries did not succeed in all of the zones {zones:?}; the last outcomes: {last:?}"
+        );
     }
 
     fn is_serving(&self, zone: usize, since: Instant, in_a_row: usize) -> bool {
         let outcomes = lock(&self.shared.outcomes);
         let of_zone: Vec<_> = outcomes
             .iter()
-            .filter(|outcome| outcome.zone == zone && outcome.sent_at >= since && outcome.alive)
+            .filter(|outcome| {
+                outcome.zone == zone && outcome.sent_at >= since && outcome.process_stayed_up
+            })
             .collect();
         let mut last = of_zone.iter().rev().take(in_a_row);
         of_zone.len() >= in_a_row && last.all(|outcome| outcome.succeeded())
     }
 
-    /// How many sub-requests were executed so far.
+    /// Returns how many sub-requests have been executed so far.
     pub fn executed(&self) -> usize {
         lock(&self.executed).len()
     }
 
-    /// The traffic between zones, of the sub-requests executed after the first so many.
+    /// Returns the traffic between zones, without the first `since` executed sub-requests.
     pub fn traffic(&self, since: usize) -> Traffic {
         let zone_count = self.config.zones.len();
         let groups = self.config.replica_count();
@@ -120,21 +124,21 @@
             .map(|outcome| (outcome.id, outcome.zone))
             .collect();
         let mut traffic = Traffic::default();
-        for one in lock(&self.executed).iter().skip(since) {
-            let Some(&from) = zone_of_query.get(&one.query) else {
+        for execution in lock(&self.executed).iter().skip(since) {
+            let Some(&from) = zone_of_query.get(&execution.query) else {
                 continue;
             };
-            let to = one.replica % zone_count;
+            let to = execution.replica % zone_count;
             let zones = ZonePair { from, to };
             *traffic.sub_requests.entry(zones).or_default() += 1;
             let is_local = (0..REPLICAS_PER_SHARD)
-                .any(|replica| (one.shard + replica) % groups % zone_count == from);
+                .any(|replica| (execution.shard + replica) % groups % zone_count == from);
             traffic.avoidable += usize::from(is_local && to != from);
         }
         traffic
     }
 
-    /// Stops the clients and checks all their queries against what was executed; the violations.
+    /// Stops the clients, checks all their queries against the executed sub-requests, and returns the violations.
     ///
     /// # Panics
     ///
@@ -142,12 +146,14 @@
     pub fn check(&mut self) -> Vec<String> {
         self.shared.stopping.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
-            client.join().expect("a client ends by itself");
+            client
+                .join()
+                .expect("the thread of a client does not panic");
         }
         check(&self.outcomes(), &lock(&self.executed))
     }
 
-    /// The outcomes of all queries so far.
+    /// Returns the outcomes of all queries so far.
     pub fn outcomes(&self) -> Vec<QueryOutcome> {
         lock(&self.shared.outcomes).clone()
     }
--- a/crates/linenthread-fakes/src/rig/log.rs
+++ b/crates/linenthread-fakes/src/rig/log.rs
@@ -1,4 +1,4 @@
-//! The log of a process: collected as it is written, and awaited by tests.
+//! Collects the log of a process, so that tests can wait for its lines.
 
 use std::io::{BufRead, BufReader};
 use std::process::ChildStderr;
@@ -9,10 +9,10 @@
 use crate::PATIENCE;
 use crate::sync::lock;
 
-/// Lines that are shown when an awaited line does not arrive.
+/// How many lines are shown when a wait for a line fails.
 const SHOWN_LINES: usize = 30;
 
-/// All lines that a process has logged, over all its incarnations.
+/// All lines that a process has logged, including those from before its restarts.
 #[derive(Default)]
 pub(super) struct ProcessLog {
     lines: Mutex<Vec<String>>,
@@ -20,7 +20,7 @@
 }
 
 impl ProcessLog {
-    /// Collects from a process until that ends.
+    /// Starts a thread that collects the log of a process until the process ends.
     pub(super) fn collect(self: &Arc<Self>, stderr: ChildStderr) {
         let log = self.clone();
         spawn(move || {
@@ -31,25 +31,25 @@
         });
     }
 
-    /// How many lines there are.
+    /// Returns the number of lines.
     pub(super) fn len(&self) -> usize {
         lock(&self.lines).len()
     }
 
-    /// The last line from a position on that matches.
+    /// Returns the last matching line at or after a position.
     pub(super) fn last(&self, from: usize, matches: impl Fn(&str) -> bool) -> Option<String> {
         let lines = lock(&self.lines);
         let found = lines.iter().skip(from).rev().find(|line| matches(line));
         found.cloned()
     }
 
-    /// The last lines, also after a panic of a thread that held the log.
+    /// Returns the last lines, even if a thread has panicked while it held the lock.
     pub(super) fn tail(&self, count: usize) -> Vec<String> {
         let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         tail(&lines, count)
     }
 
-    /// Waits for a line from a position on that matches.
+    /// Waits for a matching line at or after a position.
     ///
     /// # Panics
     ///
@@ -71,10 +71,10 @@
             if left.is_zero() {
                 let tail = tail(&lines, SHOWN_LINES).join("\n");
                 drop(lines);
-                panic!("'{what}' did not come from {process}; its last lines:\n{tail}");
+                panic!("'{what}' did not appear in the log of {process}; its last lines:\n{tail}");
             }
-            let woken = self.grown.wait_timeout(lines, left);
-            (lines, _) = woken.expect("the thread that collects the log has not panicked");
+            let result = self.grown.wait_timeout(lines, left);
+            (lines, _) = result.expect("the thread that collects the log has not panicked");
         }
     }
 }
--- a/crates/linenthread-fakes/src/rig/process.rs
+++ b/crates/linenthread-fakes/src/rig/process.rs
@@ -14,13 +14,13 @@
 use crate::program::send_signal;
 use crate::service_discovery::ServiceDiscovery;
 
-/// One process of the program, with its files and all it has logged.
+/// One process of the program, with its files and its log.
 pub(super) struct Process {
     pub(super) name: String,
     pub(super) zone: usize,
     pub(super) log: Arc<ProcessLog>,
     /// The length of the log when the process was last started.
-    pub(super) started_at: usize,
+    pub(super) log_start: usize,
     pub(super) http: SocketAddr,
     folder: TempDir,
     child: Option<Child>,
@@ -28,7 +28,7 @@
 }
 
 impl Process {
-    /// Writes the files of a process; it does not run yet.
+    /// Writes the files of a process without starting it.
     pub(super) fn prepare(layout: &Layout, number: usize, zone: usize) -> Process {
         let known = layout.known_replicas(number);
         let discovery = ServiceDiscovery::start(known.clone());
@@ -45,7 +45,7 @@
             name: layout.name(number),
             zone,
             log: Arc::default(),
-            started_at: 0,
+            log_start: 0,
             http: layout.http(number),
             folder,
             child: None,
@@ -55,7 +55,7 @@
 
     /// Starts the program.
     pub(super) fn spawn(&mut self, exe: &str) {
-        self.started_at = self.log.len();
+        self.log_start = self.log.len();
         let mut child = Command::new(exe)
             .args([
                 "serve",
@@ -74,7 +74,7 @@
         self.child = Some(child);
     }
 
-    /// Runs an operator's command in the process's folder.
+    /// Runs a `zones` command of the program in the process's folder, as an operator would.
     pub(super) fn run_operator_command(&self, exe: &str, arguments: &[&str]) -> Output {
         Command::new(exe)
             .args(["zones", "--installation", "installation.xml"])
@@ -84,17 +84,17 @@
             .unwrap_or_else(|error| panic!("{exe} can be run: {error}"))
     }
 
-    /// A file in the process's folder.
+    /// Returns the path of a file in the process's folder.
     pub(super) fn file(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// The operating system's id of the process, while it runs.
+    /// Returns the process id, or `None` if the process does not run.
     pub(super) fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process runs.
     pub(super) fn signal(&self, name: &str) {
         if let Some(id) = self.id() {
             send_signal(id, name);
@@ -109,18 +109,20 @@
         }
     }
 
-    /// Waits for the process to end by itself; whether it ended with success.
+    /// Waits for the process to exit, and reports whether it exited successfully.
     pub(super) fn wait_for_exit(&mut self) -> bool {
         self.child
             .take()
             .is_some_and(|mut child| child.wait().is_ok_and(|status| status.success()))
     }
 
-    /// Whether the last log line on leadership since the start says that the process leads.
+    /// Reports whether the process runs and is the leader, according to its last log line about leadership since it was
+    /// started.
     pub(super) fn is_leader(&self) -> bool {
-        let gained = |line: &str| line.contains("became leader");
-        let is_on_leadership = |line: &str| gained(line) || line.contains(LEADERSHIP_LOST);
-        let last = self.log.last(self.started_at, is_on_leadership);
-        self.child.is_some() && last.is_some_and(|line| gained(&line))
+        let became_leader = |line: &str| line.contains("became leader");
+        let is_about_leadership =
+            |line: &str| became_leader(line) || line.contains(LEADERSHIP_LOST);
+        let last = self.log.last(self.log_start, is_about_leadership);
+        self.child.is_some() && last.is_some_and(|line| became_leader(&line))
     }
 }
--- a/crates/linenthread-fakes/src/rig/process_control.rs
+++ b/crates/linenthread-fakes/src/rig/process_control.rs
@@ -1,4 +1,4 @@
-//! The processes of a rig: started, signalled, killed.
+//! Starts, signals and stops the processes of a rig.
 
 use std::path::PathBuf;
 use std::process::Output;
@@ -8,12 +8,12 @@
 use super::Rig;
 
 impl Rig {
-    /// The name of a process.
+    /// Returns the name of a process.
     pub fn name(&self, process: usize) -> &str {
         &self.processes[process].name
     }
 
-    /// A file in a process's folder.
+    /// Returns the path of a file in a process's folder.
     pub fn file(&self, process: usize, name: &str) -> PathBuf {
         self.processes[process].file(name)
     }
@@ -22,33 +22,33 @@
     ///
     /// # Panics
     ///
-    /// If it cannot be started, or does not serve in time.
+    /// If the process cannot be started, or does not serve in time.
     pub fn start(&mut self, process: usize) {
         self.spawn(process);
         self.wait_for_log(process, "serving");
         self.set_queried(process, true);
     }
 
-    /// Starts a process and does not wait for it.
+    /// Starts a process without waiting until it serves.
     ///
     /// # Panics
     ///
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn spawn(&mut self, process: usize) {
         self.processes[process].spawn(&self.exe);
     }
 
-    /// Sends a signal to a process, if it runs.
+    /// Sends a signal to a process if it runs. `name` is an option of `kill`, such as `-STOP`.
     pub fn signal(&self, process: usize, name: &str) {
         self.processes[process].signal(name);
     }
 
-    /// The operating system's id of a process, while it runs.
+    /// Returns the process id of a process, or `None` if it does not run.
     pub fn id(&self, process: usize) -> Option<u32> {
         self.processes[process].id()
     }
 
-    /// Kills a process, and deletes its record if asked to.
+    /// Kills a process. With `with_record`, also deletes its record folder, as if it had lost its disk.
     pub fn kill(&mut self, process: usize, with_record: bool) {
         self.set_queried(process, false);
         self.processes[process].kill();
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Has a process shut down gracefully and waits for it; whether it ended with success.
+    /// Shuts a process down gracefully, waits for it, and reports whether it exited successfully.
     pub fn terminate(&mut self, process: usize) -> bool {
         self.set_queried(process, false);
         self.signal(process, "-TERM");
         self.processes[process].wait_for_exit()
     }
 
-    /// Limits the size of files that a process writes to so many bytes, as on a full disk; or lifts the limit.
+    /// Limits the size of the files that a process writes, which simulates a full disk. `None` removes the limit.
     ///
     /// # Panics
     ///
@@ -77,11 +77,11 @@
                 maximum: None,
             };
             prlimit(Some(pid), Resource::Fsize, limit)
-                .expect("the limit of an own process can be set");
+                .expect("the limit of a child process can be set");
         }
     }
 
-    /// Runs an operator's command in a process's folder.
+    /// Runs a `zones` command of the program in a process's folder, as an operator would.
     ///
     /// # Panics
     ///
--- a/crates/linenthread-fakes/src/rig/route.rs
+++ b/crates/linenthread-fakes/src/rig/route.rs
@@ -1,19 +1,19 @@
-//! Routes between zones, as processes log them.
+//! Parses the routes between zones from log lines.
 
-/// The complete share of a zone's keys, in thousandths.
-const COMPLETE_SHARE: u16 = 1_000;
+/// The share of all keys, in thousandths.
+const FULL_SHARE: u16 = 1_000;
 
-/// Two zones, by their numbers, in the direction of queries.
+/// A directed pair of zones, by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZonePair {
-    /// The zone of the coordinator.
+    /// The zone of the coordinators.
     pub from: usize,
-    /// The zone of the replica.
+    /// The zone of the replicas.
     pub to: usize,
 }
 
 impl ZonePair {
-    /// The same zones in the other direction.
+    /// Returns the pair in the opposite direction.
     pub fn reversed(self) -> ZonePair {
         ZonePair {
             from: self.to,
@@ -22,28 +22,28 @@
     }
 }
 
-/// The route from one zone to another, as a process logs it.
+/// The logged route from one zone to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The share of keys that go there, in thousandths.
+    /// The share of keys that is routed to the target zone, in thousandths.
     pub share: u16,
-    /// Why.
+    /// The reason for the share.
     pub reason: String,
 }
 
 impl Route {
-    /// All keys go there, as the zone is healthy.
+    /// Reports whether all keys are routed to the target zone because it is healthy.
     pub fn is_healthy(&self) -> bool {
-        self.share == COMPLETE_SHARE && self.reason == "Healthy"
+        self.share == FULL_SHARE && self.reason == "Healthy"
     }
 
-    /// No keys go there, for this reason.
-    pub fn is_left_for(&self, reason: &str) -> bool {
+    /// Reports whether no keys are routed to the target zone, for this reason.
+    pub fn is_excluded_for(&self, reason: &str) -> bool {
         self.share == 0 && self.reason == reason
     }
 }
 
-/// The route between two zones in a log line that shows a routing table.
+/// Parses the route between two zones from a log line that contains a routing table.
 pub(super) fn route(line: &str, zones: ZonePair) -> Option<Route> {
     let row = line.split("Row { routes: [").skip(1).nth(zones.from)?;
     let route = row.split("Route { share: ").nth(zones.to + 1)?;
--- a/crates/linenthread-fakes/src/rig/setup.rs
+++ b/crates/linenthread-fakes/src/rig/setup.rs
@@ -1,4 +1,4 @@
-//! What a rig starts before its processes: the proxies between them, and the replicas.
+//! Starts the proxies between processes and the replicas, before the processes of a rig are started.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::replicas::FakeReplicas;
 use crate::sync::lock;
 
-/// How long replicas take for a sub-request.
+/// The time that a replica takes to respond to a sub-request.
 const SERVICE_TIME: Duration = Duration::from_millis(4);
 
-/// Proxies between the processes.
+/// Starts the proxies between the processes.
 pub(super) fn connect_processes(network: &Network, layout: &Layout, config: &RigConfig) {
     let count = config.process_count();
     let senders: BTreeMap<SocketAddr, usize> = (0..count)
@@ -45,7 +45,7 @@
     }
 }
 
-/// Replicas that respond after [`SERVICE_TIME`]; their addresses.
+/// Starts replicas that respond after [`SERVICE_TIME`] and record each execution. Returns their addresses.
 pub(super) fn start_replicas(
     count: usize,
     executed: &Arc<Mutex<Vec<Execution>>>,
@@ -57,7 +57,7 @@
         while let Some(sub_request) = replicas.wait_for_sub_request() {
             let executed = executed.clone();
             spawn(move || {
-                // It counts as executed once it has begun.
+                // A sub-request counts as executed as soon as its execution begins.
                 let query = sub_request.id.split('.').next().unwrap_or_default();
                 lock(&executed).push(Execution {
                     query: query.to_owned(),
--- a/crates/linenthread-fakes/src/rig/waits.rs
+++ b/crates/linenthread-fakes/src/rig/waits.rs
@@ -1,4 +1,4 @@
-//! What a test waits for in the logs of a rig's processes.
+//! Waits for events in the logs of a rig's processes.
 
 use std::thread::sleep;
 use std::time::Instant;
@@ -8,25 +8,25 @@
 use crate::PATIENCE;
 
 impl Rig {
-    /// How many lines a process has logged so far, over all its incarnations.
+    /// Returns how many lines a process has logged so far, including those from before its restarts.
     pub fn log_position(&self, process: usize) -> usize {
         self.processes[process].log.len()
     }
 
-    /// Waits for a log line with this text since the process was last started.
+    /// Waits for a log line that contains this text, among those logged since the process was last started.
     ///
     /// # Panics
     ///
-    /// If none arrives in time.
+    /// If no such line arrives in time.
     pub fn wait_for_log(&self, process: usize, text: &str) -> String {
-        self.wait_for_log_after(process, self.processes[process].started_at, text)
+        self.wait_for_log_after(process, self.processes[process].log_start, text)
     }
 
-    /// Waits for a log line with this text from a position on.
+    /// Waits for a log line that contains this text, at or after a position.
     ///
     /// # Panics
     ///
-    /// If none arrives in time.
+    /// If no such line arrives in time.
     pub fn wait_for_log_after(&self, process: usize, position: usize, text: &str) -> String {
         self.wait_for_line(process, position, text, &|line| line.contains(text))
     }
@@ -38,15 +38,15 @@
         what: &str,
         matches: &dyn Fn(&str) -> bool,
     ) -> String {
-        let logging = &self.processes[process];
-        logging.log.wait_for(&logging.name, position, what, matches)
+        let logger = &self.processes[process];
+        logger.log.wait_for(&logger.name, position, what, matches)
     }
 
-    /// Waits until a process uses a routing table in which the route between two zones is as wanted.
+    /// Waits until a process uses a routing table in which the route between two zones matches, and returns the log line.
     ///
     /// # Panics
     ///
-    /// If it does not in time.
+    /// If no such line arrives in time.
     pub fn wait_for_route(
         &self,
         process: usize,
@@ -55,25 +55,26 @@
         matches: impl Fn(&Route) -> bool,
     ) -> String {
         let ZonePair { from, to } = zones;
-        let what = format!("a table with the wanted way from zone {from} to {to}");
+        let what = format!("a routing table with the expected route from zone {from} to zone {to}");
         self.wait_for_line(process, position, &what, &|line| {
             line.contains(TABLE_IN_USE) && route(line, zones).is_some_and(|route| matches(&route))
         })
     }
 
-    /// Waits until a process uses a routing table in which two zones are partitioned, in either direction.
+    /// Waits until a process uses a routing table in which two zones are partitioned in at least one direction, and
+    /// returns the log line.
     ///
     /// # Panics
     ///
-    /// If it does not in time.
+    /// If no such line arrives in time.
     pub fn wait_for_partition(&self, process: usize, position: usize, zones: ZonePair) -> String {
         let is_partitioned = |line: &str, zones| {
-            route(line, zones).is_some_and(|route| route.is_left_for("Partitioned"))
+            route(line, zones).is_some_and(|route| route.is_excluded_for("Partitioned"))
         };
         self.wait_for_line(
             process,
             position,
-            "a table with a pair of zones cut",
+            "a routing table in which the two zones are partitioned",
             &|line| {
                 line.contains(TABLE_IN_USE)
                     && (is_partitioned(line, zones) || is_partitioned(line, zones.reversed()))
@@ -81,11 +82,12 @@
         )
     }
 
-    /// Waits until a single voter leads, by the last log line on leadership of each that runs.
+    /// Waits until exactly one running voter is the leader, according to the last log line about leadership of each, and
+    /// returns its number.
     ///
     /// # Panics
     ///
-    /// If none or several lead for too long.
+    /// If there is no single leader within twice [`PATIENCE`].
     pub fn leader(&self) -> usize {
         let end = Instant::now() + 2 * PATIENCE;
         while Instant::now() < end {
@@ -97,6 +99,6 @@
             }
             sleep(POLL_INTERVAL);
         }
-        panic!("no single process leads");
+        panic!("no voter became the only leader in time");
     }
 }
--- a/crates/linenthread-fakes/src/scenarios.rs
+++ b/crates/linenthread-fakes/src/scenarios.rs
@@ -1,7 +1,7 @@
-//! Scripts of faults of several processes: run by the service's tests and by `linenthread-simulation processes`.
+//! Scripts that inject faults into a rig, run by the service's tests and by `linenthread-simulation processes`.
 //!
-//! A script panics if something that it awaits does not happen in time; what became of the queries meanwhile is for
-//! its caller to check.
+//! A script panics if an expected event does not happen in time. The caller must check the outcomes of the queries that
+//! were sent in the meantime, with [`Rig::check`].
 
 mod operator;
 mod processes;
@@ -13,9 +13,9 @@
 
 pub use random_faults::{RoundsReport, rounds};
 
-/// Zones of the default rig.
+/// The number of zones of the default rig.
 const ZONES: usize = 3;
-/// Their numbers.
+/// The numbers of all zones of the default rig.
 const ALL_ZONES: [usize; ZONES] = [0, 1, 2];
 
 /// A script of faults.
@@ -23,7 +23,7 @@
 pub struct Scenario {
     /// Its name on the command line.
     pub name: &'static str,
-    /// Runs the script with a program and a seed; the rig is left running.
+    /// Runs the script with a path of the program and a seed, and returns the rig, which is still running.
     pub run: fn(&str, u64) -> Rig,
 }
 
@@ -59,15 +59,15 @@
     },
     Scenario {
         name: "minority",
-        run: zones::minority,
+        run: zones::coordinator_isolated,
     },
     Scenario {
         name: "rolling",
-        run: processes::rolling,
+        run: processes::rolling_restart,
     },
     Scenario {
         name: "orders",
-        run: operator::operator_orders,
+        run: operator::operator_commands,
     },
     Scenario {
         name: "slow-and-lossy",
--- a/crates/linenthread-fakes/src/scenarios/operator.rs
+++ b/crates/linenthread-fakes/src/scenarios/operator.rs
@@ -1,4 +1,4 @@
-//! Scenarios of an operator's commands.
+//! Scenarios with commands of an operator.
 
 use std::process::Output;
 
@@ -6,16 +6,18 @@
 use super::steps::{start_serving, with_seed};
 use crate::rig::{Rig, Route, ZonePair};
 
-/// The route from the first zone to the one that is drained.
+/// The route from the first zone to the drained one.
 const TO_MESSINA: ZonePair = ZonePair { from: 0, to: 2 };
 
-/// An operator drains a zone and takes it back; an order that cannot be carried out is rejected with its reason.
-pub(super) fn operator_orders(exe: &str, seed: u64) -> Rig {
+/// An operator drains a zone and returns it to service. Commands that cannot be executed are rejected with a reason.
+pub(super) fn operator_commands(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let from = rig.log_position(0);
     let output = rig.run_operator_command(1, &["drain", "messina"]);
     assert!(output.status.success(), "{}", printed(&output));
-    rig.wait_for_route(0, from, TO_MESSINA, |route| route.is_left_for("Drained"));
+    rig.wait_for_route(0, from, TO_MESSINA, |route| {
+        route.is_excluded_for("Drained")
+    });
     rig.wait_until_serving(&[0, 1], 20);
     let output = rig.run_operator_command(0, &["show"]);
     assert!(
@@ -24,7 +26,7 @@
         "{}",
         printed(&output)
     );
-    // Without another zone some shards would have no replica.
+    // If a second zone were drained, some shards would have no replica.
     let output = rig.run_operator_command(2, &["drain", "catania"]);
     assert!(
         !output.status.success() && printed(&output).contains("no replica left"),
@@ -45,7 +47,7 @@
     rig
 }
 
-/// All that a command has printed.
+/// Returns the output of a command, both stdout and stderr.
 fn printed(output: &Output) -> String {
     String::from_utf8_lossy(&[&output.stdout[..], &output.stderr[..]].concat()).into_owned()
 }
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -1,4 +1,4 @@
-//! Scenarios of single processes: the leader, a voter's disk, restarts.
+//! Scenarios with faults of single processes: the leader, the disk of a voter, and restarts.
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -11,10 +11,10 @@
 
 /// Longer than any lease.
 const LONG_STOP: Duration = Duration::from_secs(10);
-/// The size to which files are limited as on a full disk.
+/// The file size limit in bytes that simulates a full disk.
 const FULL_DISK_BYTES: u64 = 64;
 
-/// The leader is killed: another takes over with the same table and record, and all queries succeed again.
+/// The leader is killed. Another voter takes over with the same table and record, and all queries succeed again.
 pub(super) fn leader_killed(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     let leader = rig.leader();
@@ -30,7 +30,7 @@
     rig
 }
 
-/// The leader is stopped for longer than any lease and continued: it does not lead any more, and nothing is decided
+/// The leader is stopped for longer than any lease and then continued. It is no longer the leader, and nothing is decided
 /// twice.
 pub(super) fn leader_stopped(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
@@ -51,7 +51,7 @@
     rig
 }
 
-/// A voter loses its disk: it comes back as a new incarnation, and its vote counts.
+/// A voter loses its disk. It restarts as a new incarnation, and its vote counts.
 pub(super) fn disk_lost(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     let lost = zone_by_seed(seed);
@@ -64,18 +64,19 @@
     wait_for_logs(&rig, &rest, &from, "voter change committed: add");
     rig.wait_for_log(lost, TABLE_IN_USE);
     rig.wait_until_serving(&ALL_ZONES, 20);
-    // Without another voter its vote is needed.
-    let gone = rest[usize::from(seed / 3 % 2 == 1)];
-    rig.kill(gone, false);
+    // While another voter is down, a majority needs its vote.
+    let killed = rest[usize::from(seed / 3 % 2 == 1)];
+    rig.kill(killed, false);
     rig.leader();
     let from = rig.log_position(lost);
     rig.wait_for_log_after(lost, from, TABLE_IN_USE);
-    rig.start(gone);
+    rig.start(killed);
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// A voter's disk is full: it steps down and logs that, goes on to serve and to follow; and votes again later.
+/// The disk of the leader is full. It steps down and logs that, continues to serve queries and to follow routing tables,
+/// and votes again once there is space on the disk.
 pub(super) fn disk_full(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let full = rig.leader();
@@ -94,14 +95,14 @@
     rig
 }
 
-/// All are restarted one after the other.
-pub(super) fn rolling(exe: &str, seed: u64) -> Rig {
+/// All processes are restarted, one after the other.
+pub(super) fn rolling_restart(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     for process in rig.all() {
         let rest = others(&rig, &[process]);
         assert!(
             rig.terminate(process),
-            "{} did not end well",
+            "{} did not exit successfully",
             rig.name(process)
         );
         rig.wait_until_serving(&rest, 10);
--- a/crates/linenthread-fakes/src/scenarios/random_faults.rs
+++ b/crates/linenthread-fakes/src/scenarios/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults, round after round.
+//! Rounds of random faults.
 
 use std::ops::Range;
 use std::thread::sleep;
@@ -11,12 +11,12 @@
 use crate::random::random_index;
 use crate::rig::{Rig, RigConfig};
 
-/// A random duration in milliseconds.
+/// Returns a random duration within a range of milliseconds.
 fn random_duration(rng: &mut Rand64, milliseconds: Range<u64>) -> Duration {
     Duration::from_millis(rng.rand_range(milliseconds))
 }
 
-/// A random fault; its numbers are those that rounds print.
+/// A kind of random fault. [`rounds`] prints its index in [`Fault::ALL`].
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill,
@@ -30,7 +30,7 @@
 }
 
 impl Fault {
-    /// All faults, by number.
+    /// All kinds of faults, by number.
     const ALL: [Fault; 8] = [
         Fault::Kill,
         Fault::KillWithRecord,
@@ -42,11 +42,11 @@
         Fault::Degrade,
     ];
 
-    /// Injects the fault for a random while. Faults of the network are left to be healed.
+    /// Injects the fault for a random time. The caller must heal the network afterwards.
     fn inject(self, rig: &mut Rig, rng: &mut Rand64, process: usize, zone: usize) {
         match self {
-            Fault::Kill => kill_for_a_while(rig, rng, process, false),
-            Fault::KillWithRecord => kill_for_a_while(rig, rng, process, true),
+            Fault::Kill => kill_and_restart(rig, rng, process, false),
+            Fault::KillWithRecord => kill_and_restart(rig, rng, process, true),
             Fault::Stop => {
                 stop(rig, process);
                 sleep(random_duration(rng, 1_000..10_000));
@@ -81,26 +81,27 @@
     }
 }
 
-fn kill_for_a_while(rig: &mut Rig, rng: &mut Rand64, process: usize, with_record: bool) {
+fn kill_and_restart(rig: &mut Rig, rng: &mut Rand64, process: usize, with_record: bool) {
     rig.kill(process, with_record);
     sleep(random_duration(rng, 50..3_000));
     rig.start(process);
 }
 
-/// What became of the queries while random faults were injected.
+/// The outcome of the queries that were sent while random faults were injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoundsReport {
-    /// How many queries were made.
+    /// The number of queries.
     pub queries: usize,
-    /// Violations of the rules.
+    /// The violations of the rules.
     pub violations: Vec<String>,
 }
 
-/// Injects random faults, one round after the other, and ends all of them after each.
+/// Injects one random fault in each round. At the end of a round, heals the network and waits until all zones serve
+/// queries.
 ///
 /// # Panics
 ///
-/// If something that is awaited does not happen in time.
+/// If an expected event does not happen in time.
 pub fn rounds(exe: &str, rounds: usize, seed: u64) -> RoundsReport {
     let mut rng = Rand64::new(u128::from(seed));
     let mut rig = start_serving(
--- a/crates/linenthread-fakes/src/scenarios/steps.rs
+++ b/crates/linenthread-fakes/src/scenarios/steps.rs
@@ -1,4 +1,4 @@
-//! What several scenarios do.
+//! Steps that several scenarios share.
 
 use std::thread::sleep;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use super::{ALL_ZONES, ZONES};
 use crate::rig::{Rig, RigConfig};
 
-/// How long queries in flight may take before their process is stopped.
+/// The time for queries in flight to complete before their process is stopped.
 const IN_FLIGHT: Duration = Duration::from_millis(100);
-/// The queries of each client in a second.
+/// The number of queries per second of each client.
 const QUERIES_PER_SECOND: u64 = 25;
 
-/// The default rig with a seed.
+/// Returns the default configuration with a seed.
 pub(super) fn with_seed(seed: u64) -> RigConfig {
     RigConfig {
         seed,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Starts a rig with clients, and waits until all zones serve.
+/// Starts a rig with clients, and waits until all zones serve queries.
 pub(super) fn start_serving(exe: &str, config: RigConfig) -> Rig {
     let mut rig = Rig::start_all(exe, config);
     rig.start_clients(QUERIES_PER_SECOND);
@@ -27,15 +27,15 @@
     rig
 }
 
-/// All processes but some.
-pub(super) fn others(rig: &Rig, not: &[usize]) -> Vec<usize> {
+/// Returns the numbers of all processes except the excluded ones.
+pub(super) fn others(rig: &Rig, excluded: &[usize]) -> Vec<usize> {
     rig.all()
         .into_iter()
-        .filter(|process| !not.contains(process))
+        .filter(|process| !excluded.contains(process))
         .collect()
 }
 
-/// The log positions of all processes.
+/// Returns the log positions of all processes.
 pub(super) fn log_positions(rig: &Rig) -> Vec<usize> {
     rig.all()
         .iter()
@@ -43,27 +43,27 @@
         .collect()
 }
 
-/// The zone, and the process in it, that a seed chooses.
+/// Returns the zone that a seed selects. It is also the number of the first process in that zone.
 pub(super) fn zone_by_seed(seed: u64) -> usize {
     let zones = u64::try_from(ZONES).expect("there are few zones");
-    usize::try_from(seed % zones).expect("it is less than the number of zones")
+    usize::try_from(seed % zones).expect("a zone number is small")
 }
 
-/// Waits until some processes log a text after these positions of all processes.
+/// Waits until each of some processes logs a text at or after its position. `from` holds the positions of all processes.
 pub(super) fn wait_for_logs(rig: &Rig, processes: &[usize], from: &[usize], text: &str) {
     for &process in processes {
         rig.wait_for_log_after(process, from[process], text);
     }
 }
 
-/// Stops a process, without queries in flight.
+/// Stops a process with SIGSTOP, after clients have stopped querying it and queries in flight have completed.
 pub(super) fn stop(rig: &Rig, process: usize) {
     rig.set_queried(process, false);
     sleep(IN_FLIGHT);
     rig.signal(process, "-STOP");
 }
 
-/// Kills the coordinators of a zone, and has all in it refuse connections.
+/// Kills the coordinators of a zone, and makes all nodes in it refuse connections.
 pub(super) fn lose_zone(rig: &mut Rig, zone: usize) {
     for node in rig.zone(zone) {
         rig.network.set_down(node, true);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Starts the coordinators of a zone, and has all in it accept connections again.
+/// Starts the coordinators of a zone, and makes all nodes in it accept connections again.
 pub(super) fn restore_zone(rig: &mut Rig, zone: usize) {
     for node in rig.zone(zone) {
         rig.network.set_down(node, false);
--- a/crates/linenthread-fakes/src/scenarios/zones.rs
+++ b/crates/linenthread-fakes/src/scenarios/zones.rs
@@ -1,4 +1,4 @@
-//! Scenarios of zones: their traffic, their loss, and partitions between them.
+//! Scenarios with zones: traffic between zones, loss of a zone, and partitions.
 
 use std::time::Duration;
 
@@ -8,9 +8,10 @@
 use super::{ALL_ZONES, ZONES};
 use crate::rig::{Rig, RigConfig, Route, TABLE_IN_USE, ZonePair};
 
-/// Without faults, sub-requests stay in a zone that holds their shard, with two coordinators a zone, but for those
-/// that avoid a replica for its score: calls on loopback take a millisecond or so, and what else the machine does
-/// shows in them. Up to an eighth left so, and a third or more without a preference for the own zone.
+/// Without faults, sub-requests stay in the client's zone if it holds their shard. There are two coordinators in each
+/// zone. Sub-requests that avoid a replica because of its score may leave the zone: calls on loopback take about a
+/// millisecond, so other load on the machine affects the scores. Up to an eighth of the sub-requests left for this
+/// reason, and a third or more without a preference for the local zone.
 pub(super) fn stay_in_zone(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(
         exe,
@@ -25,12 +26,12 @@
     let (all, avoidable) = (traffic.total(), traffic.avoidable);
     assert!(
         all > 300 && avoidable * 5 < all,
-        "{avoidable} of {all} parts left a zone that holds them: {traffic:?}"
+        "{avoidable} of {all} sub-requests left a zone that holds their shard: {traffic:?}"
     );
     rig
 }
 
-/// A zone fails with all in it, is drained by all the others, and recovers.
+/// A zone fails with all its nodes, is drained by the coordinators of all other zones, and recovers.
 pub(super) fn zone_lost(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     let lost = zone_by_seed(seed);
@@ -44,14 +45,14 @@
                 to: lost,
             };
             rig.wait_for_route(process, from[process], zones, |route| {
-                route.is_left_for("ZoneDown")
+                route.is_excluded_for("ZoneDown")
             });
         }
     }
     rig.wait_until_serving(&rest, 20);
     let since = rig.executed();
     rig.wait_until_serving(&rest, 20);
-    // What still goes there are health checks and first steps of slow start.
+    // Only health checks and the first steps of a slow start are still sent to the lost zone.
     let traffic = rig.traffic(since);
     let to_lost: usize = rest.iter().map(|&zone| traffic.between(zone, lost)).sum();
     assert!(to_lost <= 3, "{traffic:?}");
@@ -69,14 +70,15 @@
     rig
 }
 
-/// Two zones are partitioned, with their coordinators: only the traffic between them moves.
+/// Two zones are partitioned, including their coordinators. Only the traffic between them is rerouted.
 pub(super) fn zones_partitioned(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let (a, b) = (zone_by_seed(seed), zone_by_seed(seed + 1));
     let third = ALL_ZONES.iter().sum::<usize>() - a - b;
     let from = log_positions(&rig);
     rig.network.partition(&rig.zone(a), &rig.zone(b));
-    // The third zone's routes stay as they are; at least one of the two sees the shards of the other.
+    // The routes of the third zone stay unchanged. At least one of the two zones queries shards of the other, and so
+    // detects the partition.
     let process = rig.coordinators(third)[0];
     let between = ZonePair { from: a, to: b };
     rig.wait_for_partition(process, from[process], between);
@@ -85,7 +87,7 @@
     let line = rig.wait_for_route(process, from[process], to_first, |route| route.share > 0);
     assert!(
         !line.contains("Down"),
-        "a zone is left for a pair that is cut: {line}"
+        "a zone is drained because of a partition between two others: {line}"
     );
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig.network.heal();
@@ -95,22 +97,25 @@
     rig
 }
 
-/// A coordinator is partitioned from all others, not from replicas: it moves no traffic, and serves its clients.
-pub(super) fn minority(exe: &str, seed: u64) -> Rig {
+/// A coordinator is partitioned from all other coordinators, but not from replicas. It moves no traffic, and continues to
+/// serve its clients.
+pub(super) fn coordinator_isolated(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
-    let alone = zone_by_seed(seed);
-    let from = rig.log_position(alone);
-    rig.network.partition(&[alone], &others(&rig, &[alone]));
-    rig.wait_for_log_after(alone, from, "routing table expired");
+    let isolated = zone_by_seed(seed);
+    let from = rig.log_position(isolated);
+    rig.network
+        .partition(&[isolated], &others(&rig, &[isolated]));
+    rig.wait_for_log_after(isolated, from, "routing table expired");
     rig.wait_until_serving(&ALL_ZONES, 20);
-    let from = rig.log_position(alone);
+    let from = rig.log_position(isolated);
     rig.network.heal();
-    rig.wait_for_log_after(alone, from, TABLE_IN_USE);
+    rig.wait_for_log_after(isolated, from, TABLE_IN_USE);
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
 
-/// All connections are slow and lossy for a while: no zone is drained for it, and nobody leads twice.
+/// The network delays all connections and drops datagrams for a time. No zone is drained because of that, and there is
+/// only one leader.
 pub(super) fn slow_and_lossy(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     rig.network.degrade(Duration::from_millis(30), 300);
--- a/crates/linenthread-fakes/tests/rig_check.rs
+++ b/crates/linenthread-fakes/tests/rig_check.rs
@@ -1,10 +1,10 @@
-//! The check of a rig's queries finds a planted violation of each rule, and none where the rules are kept.
+//! The check of a rig's queries detects violations of each rule, and reports none for valid queries.
 
 use std::time::{Duration, Instant};
 
 use linenthread_fakes::rig::{Execution, QueryOutcome, check};
 
-/// A non-idempotent query of shard 3 that succeeded.
+/// Returns a non-idempotent query on shard 3 that succeeded.
 fn order() -> QueryOutcome {
     QueryOutcome {
         id: "c0x1".to_owned(),
@@ -16,11 +16,11 @@
         sent_at: Instant::now(),
         complete: true,
         found: vec![3],
-        alive: true,
+        process_stayed_up: true,
     }
 }
 
-/// An idempotent query of three shards that succeeded.
+/// Returns an idempotent query on three shards that succeeded.
 fn find() -> QueryOutcome {
     QueryOutcome {
         id: "c0x2".to_owned(),
@@ -31,7 +31,7 @@
     }
 }
 
-/// One execution of each shard of a query.
+/// Returns one execution of a query on each of its shards.
 fn executions(outcome: &QueryOutcome) -> Vec<Execution> {
     let execution = |&shard: &usize| Execution {
         query: outcome.id.clone(),
@@ -41,21 +41,21 @@
     outcome.shards.iter().map(execution).collect()
 }
 
-/// The violations of one query.
+/// Returns the violations of one query.
 fn violations(outcome: &QueryOutcome, executed: &[Execution]) -> Vec<String> {
     check(std::slice::from_ref(outcome), executed)
 }
 
-/// Fails unless there is one violation, which has this text.
-fn assert_only(violations: &[String], text: &str) {
+/// Fails unless there is exactly one violation, which contains this text.
+fn assert_single(violations: &[String], text: &str) {
     assert!(
         matches!(violations, [only] if only.contains(text)),
-        "{text} in {violations:?}"
+        "expected one violation with '{text}', got {violations:?}"
     );
 }
 
 #[test]
-fn queries_that_keep_the_rules_have_no_violations() {
+fn valid_queries_have_no_violations() {
     let rejected = QueryOutcome {
         status: Some(503),
         complete: false,
@@ -67,13 +67,13 @@
         found: vec![6],
         ..find()
     };
-    // The process was stopped meanwhile.
+    // The process was stopped during the query.
     let unanswered = QueryOutcome {
         status: None,
         latency: Duration::from_secs(60),
         complete: false,
         found: Vec::new(),
-        alive: false,
+        process_stayed_up: false,
         ..find()
     };
     let twice = [executions(&find()), executions(&find())].concat();
@@ -81,58 +81,62 @@
     assert_eq!(violations(&rejected, &[]), [""; 0]);
     assert_eq!(violations(&partial, &executions(&find())), [""; 0]);
     assert_eq!(violations(&unanswered, &[]), [""; 0]);
-    assert_eq!(violations(&find(), &twice), [""; 0], "it may run again");
+    assert_eq!(
+        violations(&find(), &twice),
+        [""; 0],
+        "an idempotent query may be executed again"
+    );
 }
 
 #[test]
-fn a_query_without_a_response_in_time_is_found() {
+fn a_missing_or_late_response_is_a_violation() {
     let unanswered = QueryOutcome {
         status: None,
         complete: false,
         found: Vec::new(),
         ..order()
     };
-    assert_only(&violations(&unanswered, &[]), "got no answer");
+    assert_single(&violations(&unanswered, &[]), "got no response");
     let late = QueryOutcome {
         latency: Duration::from_secs(5),
         ..order()
     };
-    assert_only(
+    assert_single(
         &violations(&late, &executions(&order())),
-        "was answered after",
+        "got a late response after",
     );
 }
 
 #[test]
-fn a_non_idempotent_query_that_runs_twice_or_though_rejected_is_found() {
+fn a_non_idempotent_query_executed_twice_or_despite_rejection_is_a_violation() {
     let twice = [executions(&order()), executions(&order())].concat();
-    assert_only(&violations(&order(), &twice), "ran twice");
+    assert_single(&violations(&order(), &twice), "was executed more than once");
     let rejected = QueryOutcome {
         status: Some(503),
         complete: false,
         found: Vec::new(),
         ..order()
     };
-    assert_only(
+    assert_single(
         &violations(&rejected, &executions(&order())),
-        "was nacked, and a part of it ran",
+        "was rejected, but one of its sub-requests was executed",
     );
 }
 
 #[test]
-fn a_response_that_lacks_or_invents_a_value_is_found() {
-    let lacking = QueryOutcome {
+fn a_response_with_a_missing_or_unexecuted_value_is_a_violation() {
+    let incomplete = QueryOutcome {
         found: vec![1, 11],
         ..find()
     };
-    assert_only(
-        &violations(&lacking, &executions(&find())),
-        "is said to be whole and lacks [6]",
+    assert_single(
+        &violations(&incomplete, &executions(&find())),
+        "is reported as complete, but lacks the shards [6]",
     );
     let mut executed = executions(&find());
     executed.remove(0);
-    assert_only(
+    assert_single(
         &violations(&find(), &executed),
-        "has a value of shard 1, which never ran",
+        "has a value of shard 1, which was never executed",
     );
 }
