--- a/crates/linenthread-fakes/src/platform.rs
+++ b/crates/linenthread-fakes/src/platform.rs
@@ -111,7 +111,7 @@
         lock(&self.shared.state).validator.log().clone()
     }
 
-    /// Waits until the log is as expected. Returns false if it is not within `timeout`.
+    /// Waits until the log is as expected. Returns false if that does not happen within `timeout`.
     ///
     /// # Panics
     ///
--- a/crates/linenthread-fakes/src/rig/check.rs
+++ b/crates/linenthread-fakes/src/rig/check.rs
@@ -91,8 +91,8 @@
     }
 }
 
-/// Rule 5: a response is complete only if it has values of all shards, and it has only values of shards that executed
-/// the query.
+/// Rule 5: a response is reported as complete only if it has values of all shards, and it has values only of shards on
+/// which the query was executed.
 fn check_completeness(
     outcome: &QueryOutcome,
     counts: &ExecutionCounts,
--- a/crates/linenthread-fakes/src/rig/load.rs
+++ b/crates/linenthread-fakes/src/rig/load.rs
@@ -46,7 +46,7 @@
         lock(&self.shared.up)[process] = queried;
     }
 
-    /// Starts one client for each process. Each sends its queries sequentially, at most `per_second` per second.
+    /// Starts one client for each process. A client sends its queries sequentially, at most `per_second` in a second.
     pub fn start_clients(&mut self, per_second: u64) {
         for (number, process) in self.processes.iter().enumerate() {
             let client = QueryLoop {
--- a/crates/linenthread-fakes/src/row_replicas.rs
+++ b/crates/linenthread-fakes/src/row_replicas.rs
@@ -45,7 +45,7 @@
 }
 
 impl Treatment {
-    /// Returns this behavior without delay.
+    /// Returns a treatment with this behavior and no delay.
     pub fn at_once(behavior: Behavior) -> Treatment {
         Treatment {
             delay: Duration::ZERO,
--- a/crates/linenthread-fakes/src/row_store.rs
+++ b/crates/linenthread-fakes/src/row_store.rs
@@ -2,7 +2,7 @@
 //!
 //! The query `pledges` returns totals of `amount`, `charities` returns totals for each charity, and a query
 //! `{"query":..,"rows":N,"after":..}` returns donations: the latest first, then the largest, then by id.
-//! The expected contents of a complete response are computed from the full data by the simplest algorithm.
+//! The expected contents of a complete response are computed from the full data with the simplest possible code.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -103,7 +103,7 @@
     pub max: Option<i64>,
 }
 
-/// Returns the totals of rows, as a replica responds them.
+/// Returns the totals of rows, in the form of a replica's response.
 fn totals(rows: &[&Donation]) -> Value {
     let cents = || rows.iter().map(|row| row.cents);
     json!({"amount": {"count": rows.len(), "sum": money(cents().sum()),
--- a/crates/linenthread-fakes/src/scenarios/steps.rs
+++ b/crates/linenthread-fakes/src/scenarios/steps.rs
@@ -49,7 +49,8 @@
     usize::try_from(seed % zones).expect("a zone number is small")
 }
 
-/// Waits until each of some processes logs a text at or after its position. `from` holds the positions of all processes.
+/// Waits until each of these processes has logged a text at or after its position. `from` holds the positions of all
+/// processes, by number.
 pub(super) fn wait_for_logs(rig: &Rig, processes: &[usize], from: &[usize], text: &str) {
     for &process in processes {
         rig.wait_for_log_after(process, from[process], text);
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -141,7 +141,7 @@
     ///
     /// # Panics
     ///
-    /// If it does not within the time limit.
+    /// If no log line arrives in time.
     pub fn wait_for_remote_replicas(&mut self, count: usize) {
         while self.remote_replicas != count {
             let line = self
@@ -161,7 +161,7 @@
     ///
     /// # Panics
     ///
-    /// If it is not up in time.
+    /// If the link is not reported as down and then as up in time.
     pub fn reconnect(&mut self) {
         self.wait_for_remote_replicas(REPLICAS);
         self.proxy.set_upstream(None);
--- a/crates/linenthread-fakes/src/sites/verdict.rs
+++ b/crates/linenthread-fakes/src/sites/verdict.rs
@@ -7,11 +7,11 @@
 pub struct Verdict {
     /// The number of queries that were checked.
     pub checked: usize,
-    /// The number of queries that succeeded.
+    /// The number of queries that succeeded (status 200).
     pub succeeded: usize,
-    /// The number of queries that were rejected, so that nothing was executed.
+    /// The number of queries that were rejected without being executed (status 503).
     pub rejected: usize,
-    /// The number of queries that failed, so that it is unknown what was executed.
+    /// The number of queries that failed, and may have been executed (status 502).
     pub failed: usize,
     /// The violations of the rules.
     pub violations: Vec<String>,
