--- a/crates/linenthread-fakes/src/platform/call_validator.rs
+++ b/crates/linenthread-fakes/src/platform/call_validator.rs
@@ -1,4 +1,5 @@
-//! The platform's rules for calls, without sockets or clocks: the response to each call, and the rules that it violates.
+//! The platform's rules for calls, without sockets or clocks: the response to each call, and the rules that it
+//! violates.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -116,8 +117,8 @@
         CallResponse::Invalid
     }
 
-    /// Checks the fencing token and the holder of a call without processing its report, as for a platform that is busy or
-    /// silent. Returns whether no higher fencing token was received before.
+    /// Checks the fencing token and the holder of a call without processing its report, as for a platform that is busy
+    /// or silent. Returns whether no higher fencing token was received before.
     pub fn observe(&mut self, call: &ReceivedCall) -> bool {
         self.check_holder(call);
         let is_greatest = call.fence >= self.greatest_fence;
--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -28,7 +28,8 @@
     pub non_idempotent: bool,
     /// The soft deadline of its queries.
     pub soft_deadline: Duration,
-    /// The minimum share of the query's weight that a partial response must cover. With 1.0, all responses are complete.
+    /// The minimum share of the query's weight that a partial response must cover. With 1.0, all responses are
+    /// complete.
     pub floor: f64,
 }
 
--- a/crates/linenthread-fakes/src/replicas.rs
+++ b/crates/linenthread-fakes/src/replicas.rs
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Waits for the next sub-request without a time limit, and ignores cancellations. Returns `None` if no replica runs
-    /// any more.
+    /// Waits for the next sub-request without a time limit, and ignores cancellations. Returns `None` if no replica
+    /// runs any more.
     pub fn wait_for_sub_request(&self) -> Option<SubRequest> {
         self.events.iter().find_map(|event| match event {
             Event::Received(sub_request) => Some(sub_request),
--- a/crates/linenthread-fakes/src/rig/waits.rs
+++ b/crates/linenthread-fakes/src/rig/waits.rs
@@ -42,7 +42,8 @@
         logger.log.wait_for(&logger.name, position, what, matches)
     }
 
-    /// Waits until a process uses a routing table in which the route between two zones matches, and returns the log line.
+    /// Waits until a process uses a routing table in which the route between two zones matches, and returns the log
+    /// line.
     ///
     /// # Panics
     ///
@@ -82,8 +83,8 @@
         )
     }
 
-    /// Waits until exactly one running voter is the leader, according to the last log line about leadership of each, and
-    /// returns its number.
+    /// Waits until exactly one running voter is the leader, according to the last log line about leadership of each,
+    /// and returns its number.
     ///
     /// # Panics
     ///
--- a/crates/linenthread-fakes/src/row_replicas.rs
+++ b/crates/linenthread-fakes/src/row_replicas.rs
@@ -63,8 +63,8 @@
 }
 
 impl RowReplicas {
-    /// Starts this number of replicas. `treatment` decides how each sub-request is handled; a page has at most `max_rows`
-    /// rows.
+    /// Starts this number of replicas. `treatment` decides how each sub-request is handled; a page has at most
+    /// `max_rows` rows.
     ///
     /// # Panics
     ///
--- a/crates/linenthread-fakes/src/row_store.rs
+++ b/crates/linenthread-fakes/src/row_store.rs
@@ -148,8 +148,8 @@
 }
 
 impl RowStore {
-    /// Creates this number of shards with at most `max_rows` random rows each. The ranges of dates and amounts are small,
-    /// so that equal ones are common.
+    /// Creates this number of shards with at most `max_rows` random rows each. The ranges of dates and amounts are
+    /// small, so that equal ones are common.
     pub fn new(rng: &mut Rand64, shards: usize, max_rows: u64) -> RowStore {
         let mut store = RowStore {
             shards: vec![Vec::new(); shards],
@@ -183,7 +183,8 @@
         donation
     }
 
-    /// Returns the value with which a replica responds to the text of a sub-request. A page has at most `max_rows` rows.
+    /// Returns the value with which a replica responds to the text of a sub-request. A page has at most `max_rows`
+    /// rows.
     pub fn respond(&self, shard: usize, text: &str, max_rows: usize) -> String {
         let rows = &self.shards[shard];
         let value = match serde_json::from_str::<Value>(text) {
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -30,8 +30,8 @@
     rig
 }
 
-/// The leader is stopped for longer than any lease and then continued. It is no longer the leader, and nothing is decided
-/// twice.
+/// The leader is stopped for longer than any lease and then continued. It is no longer the leader, and nothing is
+/// decided twice.
 pub(super) fn leader_stopped(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let leader = rig.leader();
@@ -75,8 +75,8 @@
     rig
 }
 
-/// The disk of the leader is full. It steps down and logs that, continues to serve queries and to follow routing tables,
-/// and votes again once there is space on the disk.
+/// The disk of the leader is full. It steps down and logs that, continues to serve queries and to follow routing
+/// tables, and votes again once there is space on the disk.
 pub(super) fn disk_full(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let full = rig.leader();
--- a/crates/linenthread-fakes/src/scenarios/zones.rs
+++ b/crates/linenthread-fakes/src/scenarios/zones.rs
@@ -97,8 +97,8 @@
     rig
 }
 
-/// A coordinator is partitioned from all other coordinators, but not from replicas. It moves no traffic, and continues to
-/// serve its clients.
+/// A coordinator is partitioned from all other coordinators, but not from replicas. It moves no traffic, and continues
+/// to serve its clients.
 pub(super) fn coordinator_isolated(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let isolated = zone_by_seed(seed);
--- a/crates/linenthread-fakes/src/service_discovery.rs
+++ b/crates/linenthread-fakes/src/service_discovery.rs
@@ -1,5 +1,5 @@
-//! A fake of service discovery. It responds to requests for the full membership, and leaves each watch pending until the
-//! test answers it.
+//! A fake of service discovery. It responds to requests for the full membership, and leaves each watch pending until
+//! the test answers it.
 
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/linenthread-fakes/src/sites/setup.rs
+++ b/crates/linenthread-fakes/src/sites/setup.rs
@@ -29,7 +29,8 @@
 /// The arguments of the program at both sites.
 pub(super) const ARGUMENTS: [&str; 2] = ["--installation", "installation.xml"];
 
-/// Starts replicas that respond after the service time and record the sub-requests they receive. Returns their addresses.
+/// Starts replicas that respond after the service time and record the sub-requests they receive. Returns their
+/// addresses.
 pub(super) fn start_replicas(
     service_time: Duration,
     received: &Arc<Mutex<Vec<Received>>>,
