--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -1,10 +1,10 @@
 //! Fakes of the systems around a coordinator: replicas, service discovery, clients, and replicas that hold real rows.
 //! They are used by tests, simulations and `linenthread try`, and inject faults on demand.
 //!
-//! The fakes use threads and blocking sockets on loopback, and wait at most [`PATIENCE`] for each event. Except for
-//! the hash function of `linenthread-hash`, this crate shares no code with the program under test, so that a bug of the
-//! program cannot be masked by the same bug here.
-//! When a step of a test fails, it panics with a message that names the event or condition it expected.
+//! The fakes use threads and blocking sockets on loopback, and wait at most [`PATIENCE`] for each event; a rig waits up
+//! to four times as long. Except for the hash function of `linenthread-hash`, this crate shares no code with the
+//! program under test, so that a bug of the program cannot be masked by the same bug here. When a step of a test fails,
+//! it panics with a message that names the event or condition it expected.
 //!
 //! [`Service`] runs one process and is the place to start reading. [`sites`] runs two sites connected by a link,
 //! [`rig`] runs several processes with faults injected between them, [`scenarios`] contains scripts of such faults,
@@ -39,7 +39,7 @@
 pub use row_replicas::{Behavior, RowReplicas, Treatment};
 pub use service_discovery::{ServiceDiscovery, member, membership};
 
-/// The longest wait for a single event.
+/// The longest wait for a single event. A rig, which runs several processes, waits for a multiple of it.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
 /// Waits for the next event, and panics with `what` if none arrives within [`PATIENCE`].
--- a/crates/linenthread-fakes/src/rig/check.rs
+++ b/crates/linenthread-fakes/src/rig/check.rs
@@ -8,7 +8,7 @@
 use crate::PATIENCE;
 
 /// The tolerance after the soft deadline within which a response may arrive.
-const LATENESS: Duration = Duration::from_secs(PATIENCE.as_secs() / 5);
+const MAX_LATENESS: Duration = Duration::from_secs(PATIENCE.as_secs() / 5);
 
 /// The execution of a sub-request by a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     if outcome.process_stayed_up && outcome.status.is_none() {
         violations.push(format!("rule 1: {id} got no response within {latency:?}"));
     }
-    if outcome.process_stayed_up && *latency > SOFT_DEADLINE + LATENESS {
+    if outcome.process_stayed_up && *latency > SOFT_DEADLINE + MAX_LATENESS {
         violations.push(format!(
             "rule 1: {id} got a late response after {latency:?}"
         ));
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -12,7 +12,7 @@
 use crate::proxy::{ByteLimit, Direction};
 
 /// The tolerance after the soft deadline within which a response may arrive, since the machine may be busy.
-const LATENESS: Duration = Duration::from_millis(1_500);
+const MAX_LATENESS: Duration = Duration::from_millis(1_500);
 /// The maximum time after the last response within which a sub-request may still reach a replica.
 const IN_TRANSIT: Duration = Duration::from_millis(200);
 
@@ -64,7 +64,7 @@
             status: self.status,
             executions,
         };
-        let is_late = self.latency > SOFT_DEADLINE + LATENESS;
+        let is_late = self.latency > SOFT_DEADLINE + MAX_LATENESS;
         end.status_mismatch()
             .or_else(|| end.duplicate_execution())
             .or_else(|| is_late.then_some("got a late response"))
