--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -42,9 +42,9 @@
 /// The longest wait for a single event. A rig, which runs several processes, waits for a multiple of it.
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
-/// Waits for the next event, and panics with `what` if none arrives within [`PATIENCE`].
-fn wait<T>(events: &Receiver<T>, what: &str) -> T {
+/// Waits for the next event, and panics with `description` if none arrives within [`PATIENCE`].
+fn wait<T>(events: &Receiver<T>, description: &str) -> T {
     events
         .recv_timeout(PATIENCE)
-        .unwrap_or_else(|_| panic!("{what} did not arrive within {PATIENCE:?}"))
+        .unwrap_or_else(|_| panic!("{description} did not arrive within {PATIENCE:?}"))
 }
--- a/crates/linenthread-fakes/src/rig/log.rs
+++ b/crates/linenthread-fakes/src/rig/log.rs
@@ -58,7 +58,7 @@
         &self,
         process: &str,
         from: usize,
-        what: &str,
+        description: &str,
         matches: &dyn Fn(&str) -> bool,
     ) -> String {
         let end = Instant::now() + 3 * PATIENCE;
@@ -71,7 +71,9 @@
             if left.is_zero() {
                 let tail = tail(&lines, SHOWN_LINES).join("\n");
                 drop(lines);
-                panic!("'{what}' did not appear in the log of {process}; its last lines:\n{tail}");
+                panic!(
+                    "'{description}' did not appear in the log of {process}; its last lines:\n{tail}"
+                );
             }
             let result = self.grown.wait_timeout(lines, left);
             (lines, _) = result.expect("the thread that collects the log has not panicked");
--- a/crates/linenthread-fakes/src/rig/waits.rs
+++ b/crates/linenthread-fakes/src/rig/waits.rs
@@ -35,11 +35,13 @@
         &self,
         process: usize,
         position: usize,
-        what: &str,
+        description: &str,
         matches: &dyn Fn(&str) -> bool,
     ) -> String {
         let logger = &self.processes[process];
-        logger.log.wait_for(&logger.name, position, what, matches)
+        logger
+            .log
+            .wait_for(&logger.name, position, description, matches)
     }
 
     /// Waits until a process uses a routing table in which the route between two zones matches, and returns the log
@@ -56,8 +58,9 @@
         matches: impl Fn(&Route) -> bool,
     ) -> String {
         let ZonePair { from, to } = zones;
-        let what = format!("a routing table with the expected route from zone {from} to zone {to}");
-        self.wait_for_line(process, position, &what, &|line| {
+        let description =
+            format!("a routing table with the expected route from zone {from} to zone {to}");
+        self.wait_for_line(process, position, &description, &|line| {
             line.contains(TABLE_IN_USE) && route(line, zones).is_some_and(|route| matches(&route))
         })
     }
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -20,8 +20,8 @@
     let leader = rig.leader();
     rig.kill(leader, false);
     let rest = others(&rig, &[leader]);
-    let new = rig.leader();
-    assert_ne!(new, leader);
+    let new_leader = rig.leader();
+    assert_ne!(new_leader, leader);
     wait_for_logs(&rig, &rest, &log_positions(&rig), TABLE_IN_USE);
     rig.wait_until_serving(&rest, 20);
     rig.start(leader);
@@ -79,18 +79,18 @@
 /// tables, and votes again once there is space on the disk.
 pub(super) fn disk_full(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
-    let full = rig.leader();
-    let from = rig.log_position(full);
-    rig.fill_disk(full, Some(FULL_DISK_BYTES));
-    rig.wait_for_log_after(full, from, "voter stopped: the disk failed");
-    rig.wait_for_log_after(full, from, LEADERSHIP_LOST);
-    let new = rig.leader();
-    assert_ne!(new, full);
+    let old_leader = rig.leader();
+    let from = rig.log_position(old_leader);
+    rig.fill_disk(old_leader, Some(FULL_DISK_BYTES));
+    rig.wait_for_log_after(old_leader, from, "voter stopped: the disk failed");
+    rig.wait_for_log_after(old_leader, from, LEADERSHIP_LOST);
+    let new_leader = rig.leader();
+    assert_ne!(new_leader, old_leader);
     rig.wait_until_serving(&ALL_ZONES, 20);
-    let from = rig.log_position(full);
-    rig.wait_for_log_after(full, from, TABLE_IN_USE);
-    rig.fill_disk(full, None);
-    rig.wait_for_log_after(full, from, "voter started");
+    let from = rig.log_position(old_leader);
+    rig.wait_for_log_after(old_leader, from, TABLE_IN_USE);
+    rig.fill_disk(old_leader, None);
+    rig.wait_for_log_after(old_leader, from, "voter started");
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -198,12 +198,12 @@
     }
 
     /// Sends a query for one shard, and checks its response against the executed sub-requests. Violations are added to
-    /// `verdict`, prefixed with `what`.
+    /// `verdict`, prefixed with `description`.
     ///
     /// # Panics
     ///
     /// If the coordinator does not accept the connection.
-    pub fn query(&mut self, index: &str, verdict: &mut Verdict, what: &str) {
+    pub fn query(&mut self, index: &str, verdict: &mut Verdict, description: &str) {
         self.queries += 1;
         let id = format!("{index}{}", self.queries);
         let response = self.local.query(index, &id, &[1]).response();
@@ -218,13 +218,13 @@
             status,
             executions: self.executions_of(&format!("{id}.1")),
         };
-        for why in end
+        for reason in end
             .status_mismatch()
             .into_iter()
             .chain(end.duplicate_execution())
         {
             verdict.violations.push(format!(
-                "{what}: {id} {why} (status {status:?}, {} executions)",
+                "{description}: {id} {reason} (status {status:?}, {} executions)",
                 end.executions
             ));
         }
@@ -251,8 +251,8 @@
         let ByteLimit { direction, bytes } = limit;
         self.proxy.disconnect_next_after(direction, bytes);
         self.reconnect();
-        let what = format!("link closed after {bytes} bytes {direction:?}");
-        self.query(ORDER, verdict, &what);
+        let description = format!("link closed after {bytes} bytes {direction:?}");
+        self.query(ORDER, verdict, &description);
         // Delayed sub-requests have arrived after this time.
         sleep(Duration::from_millis(100));
         let executions = self.executions();
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -156,9 +156,9 @@
         } = result;
         let sub_request = format!("{id}.1");
         let executed = executions.get(&sub_request).copied().unwrap_or_default();
-        if let Some(why) = result.violation(executed) {
+        if let Some(reason) = result.violation(executed) {
             verdict.violations.push(format!(
-                "{id} ({index}) {why}: status {status:?}, {executed} executions, latency {latency:?}"
+                "{id} ({index}) {reason}: status {status:?}, {executed} executions, latency {latency:?}"
             ));
         }
     }
