--- a/crates/linenthread-simulation/src/commands/arguments.rs
+++ b/crates/linenthread-simulation/src/commands/arguments.rs
@@ -1,15 +1,15 @@
-//! Arguments that several commands take.
+//! Arguments shared by several commands.
 
 use std::path::PathBuf;
 
 use bpaf::{Parser, long};
 
-/// Where all random numbers of the only run come from.
+/// Parses the seed of a command that makes a single run.
 pub(super) fn seed() -> impl Parser<u64> {
     seed_with_help("The seed of all random numbers")
 }
 
-/// The seed of the first of several runs.
+/// Parses the seed of the first of several runs; each further run uses the next seed.
 pub(super) fn first_seed() -> impl Parser<u64> {
     seed_with_help("The first run's seed; the others count on from it")
 }
@@ -18,17 +18,17 @@
     long("seed").help(help).argument("S").fallback(1)
 }
 
-/// How many schedules are run.
+/// Parses the number of schedules to run.
 pub(super) fn schedules(default: usize) -> impl Parser<usize> {
     count("schedules", "Schedules of faults to run", default)
 }
 
-/// A number of things.
+/// Parses `--name N`, which falls back to `default`.
 pub(super) fn count(name: &'static str, help: &'static str, default: usize) -> impl Parser<usize> {
     long(name).help(help).argument("N").fallback(default)
 }
 
-/// The program that is tested.
+/// Parses the path of the program under test.
 pub(super) fn program() -> impl Parser<Option<PathBuf>> {
     long("program")
         .help("The program to run; by default linenthread beside this one")
@@ -36,7 +36,7 @@
         .optional()
 }
 
-/// The path of the program that is tested: as given, or beside this one.
+/// Returns the path of the program under test: the given one, else `linenthread` in this program's folder.
 pub(super) fn program_path(given: Option<&PathBuf>) -> String {
     let beside = || Some(std::env::current_exe().ok()?.with_file_name("linenthread"));
     given
--- a/crates/linenthread-simulation/src/commands/fleet.rs
+++ b/crates/linenthread-simulation/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: checks the fleet's members and its agreed record.
+//! `fleet`: checks fleet membership and the replicated state of voters.
 
 use std::process::ExitCode;
 
--- a/crates/linenthread-simulation/src/commands/link_bytes.rs
+++ b/crates/linenthread-simulation/src/commands/link_bytes.rs
@@ -1,4 +1,4 @@
-//! `link-bytes`: checks the link, cut at every byte.
+//! `link-bytes`: checks the link by cutting the connection after every byte.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/linenthread-simulation/src/commands/members.rs
+++ b/crates/linenthread-simulation/src/commands/members.rs
@@ -1,4 +1,4 @@
-//! `members`: measures the fleet's members.
+//! `members`: measures the cost of fleet membership.
 
 use std::process::ExitCode;
 
--- a/crates/linenthread-simulation/src/commands/mod.rs
+++ b/crates/linenthread-simulation/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program: each module has the options of one and runs it.
+//! The commands of the program. Each module parses the options of one command and runs it.
 
 mod arguments;
 mod dataplane;
@@ -37,7 +37,7 @@
 }
 
 impl Command {
-    /// Runs the command; the exit code says whether all was well.
+    /// Runs the command. The exit code reports whether violations were found.
     pub(crate) fn run(&self) -> ExitCode {
         match self {
             Command::Merged(options) => merged::run(options),
@@ -56,7 +56,7 @@
     }
 }
 
-/// All commands.
+/// Returns the parser of the command line.
 pub(crate) fn parser() -> OptionParser<Command> {
     let merged = merged::parser().map(Command::Merged);
     let link = link::parser().map(Command::Link);
--- a/crates/linenthread-simulation/src/commands/outcome.rs
+++ b/crates/linenthread-simulation/src/commands/outcome.rs
@@ -1,10 +1,10 @@
-//! The end of a command.
+//! The closing line and the exit code of a command.
 
 use std::process::ExitCode;
 
 use crate::run_summary::RunSummary;
 
-/// Prints the closing line; fails if there were violations.
+/// Prints the closing line and returns the exit code: failure if there were violations.
 pub(super) fn close(summary: RunSummary) -> ExitCode {
     let RunSummary {
         checked,
@@ -14,7 +14,7 @@
     exit_code(violations)
 }
 
-/// Fails if there were violations.
+/// Returns failure if there were violations.
 pub(super) fn exit_code(violations: usize) -> ExitCode {
     if violations == 0 {
         ExitCode::SUCCESS
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -1,4 +1,4 @@
-//! `processes`: checks several processes with faults between them.
+//! `processes`: checks several real processes while faults are injected between them.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,15 +9,15 @@
 use super::{arguments, outcome};
 use crate::run_summary::RunSummary;
 
-/// The scenario of random faults.
+/// The scenario that injects random faults.
 const ZONES: &str = "zones";
-/// All scenarios but that.
+/// Selects all scenarios except [`ZONES`].
 const ALL: &str = "all";
-/// Violations of the rounds of zones that are printed.
+/// The maximum number of violations printed for [`ZONES`].
 const MAX_PRINTED_VIOLATIONS: usize = 20;
-/// Violations of one run of a scenario that are printed.
+/// The maximum number of violations printed for one run of another scenario.
 const MAX_PRINTED_VIOLATIONS_OF_SCENARIO: usize = 5;
-/// The exit code if there is no such scenario.
+/// The exit code for an unknown scenario.
 const USAGE_ERROR: u8 = 2;
 
 #[derive(Clone)]
--- a/crates/linenthread-simulation/src/commands/system.rs
+++ b/crates/linenthread-simulation/src/commands/system.rs
@@ -1,4 +1,4 @@
-//! `system`: checks the system's control.
+//! `system`: checks control nodes, ingress nodes and operators together.
 
 use std::process::ExitCode;
 
--- a/crates/linenthread-simulation/src/dataplane.rs
+++ b/crates/linenthread-simulation/src/dataplane.rs
@@ -1,7 +1,7 @@
-//! The data plane in simulated time: simulations of [`SESSIONS`] sessions each, one seed a simulation.
+//! Checks the data plane in simulated time. Each simulation runs up to [`SESSIONS`] client sessions from its own seed.
 //!
-//! Faults and invariants are those of `linenthread-dataplane-sim`, in its modules `fault_plan` and `checker`. A violation
-//! is printed with the seed of its simulation. To run that one again, with a digest of all that happens:
+//! The faults and invariants are defined in the modules `fault_plan` and `checker` of `linenthread-dataplane-sim`. A
+//! violation is printed with the seed of its simulation. To repeat that simulation and print a digest of its events:
 //! `linenthread-simulation dataplane --sessions 20 --seed N --summary`.
 
 use std::time::Instant;
@@ -11,30 +11,30 @@
 
 use crate::run_summary::RunSummary;
 
-/// How many violations are printed.
+/// The maximum number of violations printed.
 const MAX_PRINTED: usize = 20;
-/// Simulations are independent of each other and so are run in parallel.
+/// The number of threads; simulations are independent of each other, so they run in parallel.
 const THREADS: usize = 3;
 
-/// What to run.
+/// Options of the command.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// Sessions of clients, over all simulations.
+    /// The number of client sessions, over all simulations.
     pub(crate) sessions: usize,
-    /// The seed of the first simulation; the next ones follow.
+    /// The seed of the first simulation; each further simulation uses the next seed.
     pub(crate) seed: u64,
-    /// Print what became of the requests, and the digest of all that happened.
+    /// Whether to print the outcomes of requests and a digest of all events.
     pub(crate) summary: bool,
 }
 
-/// One simulation to run.
+/// A simulation to run.
 #[derive(Clone, Copy)]
 struct Job {
     seed: u64,
     sessions: usize,
 }
 
-/// Runs all simulations and prints their violations, at most [`MAX_PRINTED`].
+/// Runs all simulations and prints at most [`MAX_PRINTED`] violations.
 pub(crate) fn run(options: &Options) -> RunSummary {
     let started_at = Instant::now();
     let (mut counts, mut executions, mut digest) = (Counts::default(), 0, 0u64);
@@ -65,7 +65,7 @@
     }
 }
 
-/// The simulations, of which the last may have fewer sessions.
+/// Splits the sessions into simulations; the last one may have fewer than [`SESSIONS`].
 fn jobs(options: &Options) -> Vec<Job> {
     let starts = (0..options.sessions).step_by(SESSIONS);
     (0..)
@@ -77,7 +77,7 @@
         .collect()
 }
 
-/// All outcomes, in the order of the jobs.
+/// Runs all jobs and returns their outcomes in the same order.
 fn run_all(jobs: &[Job]) -> Vec<(Job, Outcome)> {
     let jobs_per_thread = jobs.len().div_ceil(THREADS).max(1);
     let run_some = |some: &[Job]| -> Vec<(Job, Outcome)> {
--- a/crates/linenthread-simulation/src/event_queue.rs
+++ b/crates/linenthread-simulation/src/event_queue.rs
@@ -1,10 +1,10 @@
-//! What is to happen in simulated time, in order.
+//! The queue of events in simulated time.
 
 use std::collections::BTreeMap;
 
 use linenthread_core::interface::TenthMillis;
 
-/// Events by time; those of one moment happen in the order in which they were added.
+/// Events ordered by time; events at the same time keep the order in which they were added.
 pub(crate) struct EventQueue<E> {
     events: BTreeMap<(TenthMillis, u64), E>,
     last_number: u64,
@@ -20,30 +20,30 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event under the next number.
+    /// Adds an event, which takes the next sequence number.
     pub(crate) fn push(&mut self, at: TenthMillis, event: E) {
         let number = self.next_number();
         self.events.insert((at, number), event);
     }
 
-    /// Takes the next number, for something other than an event.
+    /// Returns the next sequence number, for something other than an event; no event gets the same number.
     pub(crate) fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// The number that was taken last.
+    /// Returns the sequence number that was assigned last.
     pub(crate) fn last_number(&self) -> u64 {
         self.last_number
     }
 
-    /// When the next event happens.
+    /// Returns the time of the next event.
     pub(crate) fn next_at(&self) -> Option<TenthMillis> {
         let ((at, _), _) = self.events.first_key_value()?;
         Some(*at)
     }
 
-    /// Takes the next event, if it happens by this time, and when that is.
+    /// Removes the next event if its time is not after `end`, and returns its time with it.
     pub(crate) fn pop_by(&mut self, end: TenthMillis) -> Option<(TenthMillis, E)> {
         if self.next_at()? > end {
             return None;
@@ -52,8 +52,8 @@
         Some((at, event))
     }
 
-    /// Drops all events but those that are to be kept.
-    pub(crate) fn retain(&mut self, mut keeps: impl FnMut(&E) -> bool) {
-        self.events.retain(|_, event| keeps(event));
+    /// Drops all events for which `keep` returns false.
+    pub(crate) fn retain(&mut self, mut keep: impl FnMut(&E) -> bool) {
+        self.events.retain(|_, event| keep(event));
     }
 }
--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -1,4 +1,4 @@
-//! A coordinator: the decision module of the program, and what it is given.
+//! A coordinator: the program's decision module with its inputs and configuration.
 
 use std::collections::VecDeque;
 
@@ -15,28 +15,28 @@
 use super::{PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
 use crate::number;
 
-/// The first zone's id; any number does.
+/// The id of the first zone; the value is arbitrary.
 const FIRST_ZONE_ID: u64 = 77;
 
-/// A query that is in flight.
+/// A query in flight.
 pub(super) struct Query {
     pub(super) soft_deadline: TenthMillis,
     pub(super) attempts: Vec<AttemptIndex>,
 }
 
-/// A coordinator of a zone.
+/// A coordinator and the zone it is in.
 pub(super) struct CoordinatorNode {
     pub(super) zone: usize,
     module: Coordinator,
-    /// What the module is given in its next step.
+    /// The inputs of the module's next step.
     pub(super) inputs: Inputs,
     pub(super) queries: Vec<Option<Query>>,
     free_queries: Vec<usize>,
     wake_at: TenthMillis,
     pub(super) observer: ZoneObserver,
-    /// Its own controller, where each decides alone.
+    /// Its own controller, under [`Policy::Independent`](super::policy::Policy::Independent).
     pub(super) controller: Option<FailoverController>,
-    /// Routes on their way, with the time of their arrival.
+    /// Routes that have been sent to it, with the time of their arrival.
     pub(super) arriving_routes: VecDeque<(TenthMillis, Vec<ZoneRoute>)>,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// An index for a new query.
+    /// Adds a query and returns its index.
     pub(super) fn add_query(&mut self, query: Query) -> QueryIndex {
         let index = self.free_queries.pop().unwrap_or_else(|| {
             self.queries.push(None);
@@ -72,12 +72,12 @@
         self.free_queries.push(index);
     }
 
-    /// The query of this index, if it is in flight.
+    /// Returns the query with this index, if it is in flight.
     pub(super) fn query(&self, QueryIndex(index): QueryIndex) -> Option<&Query> {
         self.queries.get(index)?.as_ref()
     }
 
-    /// Whether the module has something to do.
+    /// Reports whether the module has inputs or an expired timer to handle.
     pub(super) fn has_work(&self, now: TenthMillis) -> bool {
         let inputs = &self.inputs;
         let has_inputs = !(inputs.queries.is_empty()
@@ -87,7 +87,7 @@
         has_inputs || self.wake_at <= now || !self.arriving_routes.is_empty()
     }
 
-    /// Runs the module on all that has arrived.
+    /// Runs the module on all inputs that have arrived.
     pub(super) fn step(&mut self, now: TenthMillis) -> Decisions {
         while self
             .arriving_routes
@@ -108,7 +108,7 @@
     }
 }
 
-/// The routes of a zone as the module takes them; all open without a row.
+/// Converts a row of the routing table to the module's input; without a row, all routes are open.
 pub(super) fn zone_routes(local: usize, row: Option<&Row>) -> Vec<ZoneRoute> {
     let route = |zone: usize| ZoneRoute {
         id: FIRST_ZONE_ID + number::count(zone),
--- a/crates/linenthread-simulation/src/failover/decisions.rs
+++ b/crates/linenthread-simulation/src/failover/decisions.rs
@@ -1,11 +1,11 @@
-//! What the decision module of a coordinator requests in one step.
+//! The decisions that a coordinator's decision module makes in one step.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
     Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
-/// What the decision module requests in one step.
+/// The decisions of one step.
 #[derive(Default)]
 pub(super) struct Decisions {
     pub(super) attempts: Vec<SendAttempt>,
@@ -16,7 +16,7 @@
     pub(super) wake_at: Option<TenthMillis>,
 }
 
-/// An attempt that the module sends.
+/// A request to send an attempt.
 pub(super) struct SendAttempt {
     pub(super) query: QueryIndex,
     pub(super) sub_request: SubRequestIndex,
@@ -24,7 +24,7 @@
     pub(super) timeout: TenthMillis,
 }
 
-/// An attempt that the module gives up; its number counts the attempts of its sub-request from 0.
+/// A request to cancel an attempt. `number` counts the attempts of its sub-request from 0.
 pub(super) struct CancelAttempt {
     pub(super) query: QueryIndex,
     pub(super) sub_request: SubRequestIndex,
--- a/crates/linenthread-simulation/src/failover/event.rs
+++ b/crates/linenthread-simulation/src/failover/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a moment of simulated time.
+//! The events in simulated time.
 
 use linenthread_core::interface::AttemptOutcome;
 
@@ -10,7 +10,7 @@
 pub(super) enum Event {
     /// An attempt arrives at its replica.
     Arrive { attempt: AttemptIndex },
-    /// A replica has processed an attempt; void if it has stopped since.
+    /// A replica has processed an attempt. Ignored if the replica has stopped since.
     Processed {
         replica: usize,
         attempt: AttemptIndex,
--- a/crates/linenthread-simulation/src/failover/fault.rs
+++ b/crates/linenthread-simulation/src/failover/fault.rs
@@ -1,23 +1,23 @@
-//! The fault of a run, and which zones it concerns.
+//! The fault of a run, and the zones that it affects.
 
 use std::fmt;
 
-/// What goes wrong.
+/// The fault that is injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
     None,
     ZoneLost,
     ZoneSlow,
     PairPartitioned,
-    /// A zone is lost for a short time, and its replicas return and have to warm up.
+    /// A zone is lost for a short time; its replicas then restart and have to warm up.
     ShortLoss,
     /// One zone is lost and another is slow.
     LostAndSlow,
 }
 
-/// The zone that is lost or slow.
+/// The zone that is lost or slow, and one of the partitioned pair.
 const FAULTY_ZONE: usize = 2;
-/// The other zone of a pair, and the slow one beside a lost one.
+/// The other zone of the partitioned pair, and the slow zone of [`Fault::LostAndSlow`].
 const OTHER_ZONE: usize = 1;
 
 impl Fault {
@@ -30,7 +30,7 @@
         Fault::LostAndSlow,
     ];
 
-    /// Whether a zone is lost with all its replicas.
+    /// Reports whether a zone is lost with all its replicas.
     pub(super) fn loses(self, zone: usize) -> bool {
         let loses_zone = matches!(
             self,
@@ -39,25 +39,25 @@
         loses_zone && zone == FAULTY_ZONE
     }
 
-    /// Whether the leader is in the lost zone.
+    /// Reports whether a zone is lost; the leader is in that zone.
     pub(super) fn loses_leader(self) -> bool {
         self.loses(FAULTY_ZONE)
     }
 
-    /// Whether replicas of a zone are slow.
+    /// Reports whether the replicas of a zone are slow.
     pub(super) fn slows(self, zone: usize) -> bool {
         self == Fault::ZoneSlow && zone == FAULTY_ZONE
             || self == Fault::LostAndSlow && zone == OTHER_ZONE
     }
 
-    /// Whether two zones cannot reach each other.
+    /// Reports whether two zones cannot reach each other.
     pub(super) fn partitions(self, a: usize, b: usize) -> bool {
         let pair = (a.min(b), a.max(b));
         self == Fault::PairPartitioned && pair == (OTHER_ZONE, FAULTY_ZONE)
     }
 }
 
-/// The first column of the fault's line.
+/// Formats the first column of the fault's table line.
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.pad(match self {
--- a/crates/linenthread-simulation/src/failover/faults.rs
+++ b/crates/linenthread-simulation/src/failover/faults.rs
@@ -1,4 +1,4 @@
-//! Starts and ends the fault of a run; service discovery announces the replicas that it stops.
+//! Starts and ends the fault of a run. Service discovery announces the replicas that it stops and restarts.
 
 use linenthread_core::interface::{MembershipEntry, MembershipUpdate, Phase, TenthMillis};
 
@@ -9,13 +9,13 @@
 
 /// How long a fault lasts.
 const FAULT_DURATION: TenthMillis = 15 * SECOND;
-/// How long a zone is lost for a short time.
+/// How long [`Fault::ShortLoss`] lasts.
 const SHORT_FAULT_DURATION: TenthMillis = FAULT_DURATION / 3;
-/// Service discovery reports a change so long after it.
+/// The delay until service discovery reports a change.
 const MEMBERSHIP_LAG: TenthMillis = 2 * SECOND;
 
 impl World {
-    /// Starts and ends the fault at its time.
+    /// Starts or ends the fault if its time has come.
     pub(super) fn update_fault(&mut self) {
         let elapsed = self.now - START;
         let is_due = elapsed >= FAULT_START && self.fault != Fault::None;
@@ -64,14 +64,14 @@
         self.announce(entries);
     }
 
-    /// Service discovery will report these entries.
+    /// Schedules the report of these entries by service discovery.
     fn announce(&mut self, members: Vec<MembershipEntry>) {
         self.membership_updates.push(members);
         let update = self.membership_updates.len() - 1;
         self.schedule(MEMBERSHIP_LAG, Event::Membership { update });
     }
 
-    /// A change of the membership reaches all coordinators.
+    /// Delivers a membership update to all coordinators.
     pub(super) fn on_membership(&mut self, update: usize) {
         let members = &self.membership_updates[update];
         for node in &mut self.coordinators {
--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -1,16 +1,16 @@
-//! What it is worth to decide on failover in common: the same fleet in simulated time, with the same faults and the
-//! same random numbers, under five policies ([`policy::Policy`]). Replicas have queues, cores and a slow start; the
-//! decision module and the failover controller are the program's own.
+//! Compares policies for failover between zones ([`policy::Policy`]). Each policy is run on the same fleet in simulated
+//! time, with the same faults and random seeds. Replicas have queues, cores and a slow start; the decision module and the
+//! failover controller are those of the program.
 //!
-//! Each run has one fault ([`fault::Fault`]) from its 15th second on: none, a zone lost for long or for a short time, a
-//! zone slow, two zones partitioned, or one lost and another slow.
+//! Each run has one fault ([`fault::Fault`]) that starts after 15 s: none, a zone lost for a long or a short time, a
+//! slow zone, two zones partitioned from each other, or one zone lost and another slow.
 //!
-//! It is a comparison: there are no invariants in a run. A line of its table counts as a violation where deciding in
-//! common serves fewer queries than the best policy that knows no more, by over 0.01. The seeds of the runs are those
-//! from `--seed` on, `--seeds` of them; the same command prints the same table.
+//! This is a comparison, so a run has no invariants. A line of the table counts as a violation if the shared controller
+//! serves a share of queries that is more than 0.01 below that of the best policy without knowledge of the true state.
+//! The runs use `--seeds` consecutive seeds, starting from `--seed`; the same command prints the same table.
 //!
-//! Start reading at [`simulation`]; `routing` is what the policies decide, `traffic` what coordinators do, `processing`
-//! what replicas do.
+//! Start reading at [`simulation`]; `routing` implements the policies, `traffic` the coordinators and `processing` the
+//! replicas.
 
 mod coordinator;
 mod decisions;
@@ -37,29 +37,29 @@
 use world::World;
 
 const ZONES: usize = 3;
-/// Coordinators and replicas in each zone.
+/// The number of coordinators, and of replicas, in each zone.
 const PER_ZONE: usize = 4;
 const REPLICAS: usize = ZONES * PER_ZONE;
 const SHARDS: usize = 24;
 const SUB_REQUESTS_PER_QUERY: usize = 3;
-/// When a run starts.
+/// The simulated time at which a run starts.
 const START: TenthMillis = 100 * SECOND;
-/// The fault starts so long after the run.
+/// The time from the start of a run to the start of its fault.
 const FAULT_START: TenthMillis = 15 * SECOND;
-/// A query that is answered within this time counts as served.
+/// The time within which a query must be answered to count as served.
 const SOFT_DEADLINE: TenthMillis = 5_000;
-/// Sub-requests that a replica processes at once.
+/// The number of sub-requests that a replica processes concurrently.
 const CORES: usize = 2;
-/// The mean time that one takes on a warm replica, in tenths of a millisecond.
+/// The mean service time of a sub-request on a warm replica, in tenths of a millisecond.
 const SERVICE_TIME: f64 = 200.0;
-/// The utilizations of replicas that are compared.
+/// The utilizations of replicas at which the policies are compared.
 const UTILIZATIONS: [f64; 2] = [0.45, 0.6];
-/// Deciding in common may serve this much less than the best of the others.
+/// How far the served share of the shared controller may be below the best of the policies before it.
 const TOLERANCE: f64 = 0.01;
-/// The index of [`Policy::Common`] among all; those before it know no more than it.
+/// The index of [`Policy::Shared`] in [`Policy::ALL`]. The policies before it don't know the true state either.
 const COMMON: usize = 3;
 
-/// Runs all policies under a fault with the same seeds.
+/// Runs each policy under a fault with the same seeds.
 fn run_policies(fault: Fault, utilization: f64, seeds: usize, seed: u64) -> Vec<Runs> {
     let run = |policy: Policy| {
         let seeds = seed..seed + number::count(seeds);
@@ -70,13 +70,13 @@
         let threads = Policy::ALL.map(|policy| scope.spawn(move || run(policy)));
         let threads = threads.into_iter();
         threads
-            .map(|thread| thread.join().expect("a run ends"))
+            .map(|thread| thread.join().expect("a run panicked"))
             .collect()
     })
 }
 
-/// Runs all and prints a table. Each line of it is checked: a violation is one in which deciding in common is worse
-/// than the best of those that know no more.
+/// Runs all policies under all faults and prints a table for each utilization. Each line is checked: it is a violation if
+/// the shared controller is worse, by more than [`TOLERANCE`], than the best policy without knowledge of the true state.
 pub(crate) fn run(seeds: usize, seed: u64) -> RunSummary {
     let mut violations = 0;
     for utilization in UTILIZATIONS {
--- a/crates/linenthread-simulation/src/failover/policy.rs
+++ b/crates/linenthread-simulation/src/failover/policy.rs
@@ -1,19 +1,19 @@
-//! The policies that are compared.
+//! The failover policies that are compared.
 
 use std::fmt;
 
-/// How routes between zones are decided.
+/// How routes between zones are determined.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Policy {
-    /// Not at all: each coordinator selects replicas by its own measurements alone.
+    /// No routes between zones: each coordinator selects replicas by its own measurements only.
     SelectionAlone,
     /// A fixed preference for the local zone.
     FixedPreference,
-    /// Each coordinator runs a controller on its own observations.
+    /// Each coordinator runs its own controller on its own observations.
     EachAlone,
-    /// One controller for all, on the observations of all.
+    /// One controller decides for all coordinators, on the observations of all.
     Common,
-    /// One that knows the true state.
+    /// Routes are computed from the true state of zones and replicas.
     TrueState,
 }
 
@@ -27,7 +27,7 @@
     ];
 }
 
-/// The heading of a policy's column.
+/// Formats the heading of the policy's column.
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.pad(match self {
--- a/crates/linenthread-simulation/src/failover/processing.rs
+++ b/crates/linenthread-simulation/src/failover/processing.rs
@@ -1,4 +1,4 @@
-//! What replicas do with the attempts that arrive.
+//! How replicas process the attempts that arrive.
 
 use linenthread_core::interface::AttemptOutcome;
 
@@ -8,7 +8,8 @@
 use crate::number;
 
 impl World {
-    /// An attempt arrives at its replica, which may be down, or be brought down by it.
+    /// Handles the arrival of an attempt at its replica. A replica that is down refuses the connection; one that warms
+    /// up may fail from overload.
     pub(super) fn on_arrival(&mut self, attempt: AttemptIndex) {
         let replica = self.attempts[attempt].replica;
         if !self.replicas[replica].is_up {
@@ -24,13 +25,13 @@
         self.process_queue(replica);
     }
 
-    /// A replica processes what is queued, as far as it has cores.
+    /// Starts to process queued attempts while the replica has free cores.
     fn process_queue(&mut self, replica: usize) {
         let speed = self.speed(replica);
         while self.replicas[replica].processing.len() < CORES
             && let Some(attempt) = self.replicas[replica].queue.pop_front()
         {
-            // What was cancelled is not processed.
+            // Attempts that are over for the coordinator, such as cancelled ones, are skipped.
             if self.attempts[attempt].is_over {
                 continue;
             }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// A replica is done with an attempt; the response does not get through a partition.
+    /// Completes an attempt at a replica. A partition drops the response.
     pub(super) fn on_processed(&mut self, replica: usize, attempt: AttemptIndex) {
         let processing = &mut self.replicas[replica].processing;
         processing.retain(|other| *other != attempt);
@@ -55,14 +56,14 @@
         self.process_queue(replica);
     }
 
-    /// A replica stops, and all that it has is lost.
+    /// Stops a replica. The connections of all its attempts, queued or in processing, are lost.
     pub(super) fn stop_replica(&mut self, replica: usize) {
         for attempt in self.replicas[replica].stop() {
             self.respond(attempt, AttemptOutcome::ConnectionLost);
         }
     }
 
-    /// An outcome goes to the attempt's coordinator.
+    /// Sends the outcome to the attempt's coordinator.
     fn respond(&mut self, attempt: AttemptIndex, outcome: AttemptOutcome) {
         let Attempt {
             coordinator,
--- a/crates/linenthread-simulation/src/failover/replica.rs
+++ b/crates/linenthread-simulation/src/failover/replica.rs
@@ -1,4 +1,4 @@
-//! A replica with a queue, several cores and a slow start.
+//! A simulated replica with a queue, several cores and a slow start.
 
 use std::collections::VecDeque;
 
@@ -8,23 +8,23 @@
 use super::{CORES, SECOND, SERVICE_TIME};
 use crate::number;
 
-/// A replica that starts warms up for so long.
+/// How long a replica warms up after its start.
 pub(super) const WARM_UP: TenthMillis = 10 * SECOND;
-/// The speed of a replica that has just started, as a part of a warm one's.
+/// The speed of a replica that has just started, as a fraction of full speed.
 pub(super) const INITIAL_SPEED: f64 = 0.2;
-/// A replica that warms up fails when it gets this many times what it can process, for a second.
+/// The ratio of arriving attempts to capacity above which, for a second, a replica that warms up fails.
 const MAX_OVERLOAD: f64 = 2.0;
 
 #[derive(Clone, Default)]
 pub(super) struct Replica {
     pub(super) is_up: bool,
-    /// Rises with each stop.
+    /// Incremented by each stop.
     pub(super) incarnation: u32,
-    /// When it started; `None` for long ago.
+    /// When it started; `None` if it has been running, and warm, since before the run.
     pub(super) started_at: Option<TenthMillis>,
     pub(super) processing: Vec<AttemptIndex>,
     pub(super) queue: VecDeque<AttemptIndex>,
-    /// When attempts of the last second arrived.
+    /// The arrival times of the attempts of the last second.
     arrivals: VecDeque<TenthMillis>,
     overloaded_since: Option<TenthMillis>,
     has_failed: bool,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// It starts again, and has to warm up.
+    /// Restarts the replica, which then has to warm up.
     pub(super) fn restart(&mut self, now: TenthMillis) {
         *self = Replica {
             started_at: Some(now),
@@ -47,7 +47,7 @@
         };
     }
 
-    /// It stops; the attempts that are lost with it.
+    /// Stops the replica and returns the attempts that are lost.
     pub(super) fn stop(&mut self) -> Vec<AttemptIndex> {
         self.is_up = false;
         self.incarnation += 1;
@@ -55,7 +55,7 @@
         processing.chain(self.queue.drain(..)).collect()
     }
 
-    /// Its speed as a part of a warm replica's.
+    /// Returns its speed as a fraction of a warm replica's.
     pub(super) fn warmth(&self, now: TenthMillis) -> f64 {
         self.started_at.map_or(1.0, |started_at| {
             let age =
@@ -64,8 +64,8 @@
         })
     }
 
-    /// An attempt arrives while it runs at this speed. Whether the replica fails by that: one does that warms up and gets
-    /// far too much for a second.
+    /// Records the arrival of an attempt and reports whether the replica fails from overload. A replica fails, once at
+    /// most, if for a second while it warms up the attempts exceed [`MAX_OVERLOAD`] times its capacity at `speed`.
     pub(super) fn fails_on_arrival(&mut self, now: TenthMillis, speed: f64) -> bool {
         self.arrivals.push_back(now);
         while self.arrivals.front().is_some_and(|at| *at < now - SECOND) {
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -1,4 +1,4 @@
-//! The decisions on routes between zones, by each policy.
+//! The routing decisions of each policy.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_zones::{Reason, Report, Route, RoutingTable, Topology, limit_to_capacity};
@@ -14,13 +14,13 @@
 use crate::number;
 use crate::random;
 
-/// Without a leader nobody decides for so long.
+/// How long it takes to elect a new leader; meanwhile the shared controller makes no decisions.
 const LEADER_ELECTION: TenthMillis = 2 * SECOND;
-/// The part of its capacity up to which the true state fills a zone.
+/// The fraction of a zone's true capacity that the true-state policy uses.
 const TRUE_STATE_MARGIN: f64 = 0.95;
 
 impl World {
-    /// Collects reports and decides.
+    /// Collects the coordinators' reports and distributes a new routing table, if the policy makes one.
     pub(super) fn decide(&mut self) {
         let topology = topology(&self.replicas);
         let report = self.collect_reports(&topology);
@@ -34,7 +34,8 @@
         }
     }
 
-    /// The sum of all reports that arrive; each coordinator that decides alone does so on its own.
+    /// Returns the sum of all reports except those from lost zones. Under [`Policy::Independent`], each coordinator
+    /// decides on its own report.
     fn collect_reports(&mut self, topology: &Topology) -> Report {
         let mut sum = Report::default();
         for index in 0..self.coordinators.len() {
@@ -50,7 +51,7 @@
         sum
     }
 
-    /// One coordinator decides by its own report, for itself.
+    /// Lets a coordinator decide for itself, on its own report.
     fn decide_alone(&mut self, index: usize, report: &Report, topology: &Topology) {
         let now = self.now;
         let node = &mut self.coordinators[index];
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The leader decides by the reports of all, unless there is no leader.
+    /// Lets the leader decide on the reports of all coordinators. While there is no leader, the reports accumulate.
     fn decide_in_common(&mut self, report: &Report, topology: &Topology) -> Option<RoutingTable> {
         self.pending_report.add(report);
         let elected_at = START + FAULT_START + LEADER_ELECTION;
@@ -76,7 +77,7 @@
         self.controller.decide(self.now, 0, topology)
     }
 
-    /// The table of one that knows what works and how fast.
+    /// Computes a table from the true state: which zones work, and how fast.
     fn true_table(&self, topology: &Topology) -> RoutingTable {
         let mut table = RoutingTable::open(zone_names());
         for (from, row) in table.rows.iter_mut().enumerate() {
@@ -96,7 +97,8 @@
         table
     }
 
-    /// Sub-requests that a zone can truly process in a tenth of a millisecond.
+    /// Returns how many sub-requests a zone is allotted per tenth of a millisecond: [`TRUE_STATE_MARGIN`] of what its
+    /// running replicas can process.
     fn true_capacity(&self, zone: usize) -> f64 {
         let of_zone = (0..REPLICAS).filter(|index| index % ZONES == zone);
         let running = of_zone.filter(|index| self.replicas[*index].is_up);
--- a/crates/linenthread-simulation/src/failover/simulation.rs
+++ b/crates/linenthread-simulation/src/failover/simulation.rs
@@ -1,4 +1,4 @@
-//! One run from its start to its end, event by event.
+//! A run from start to end, event by event.
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
@@ -7,15 +7,15 @@
 use super::statistics::Totals;
 use super::world::World;
 
-/// How long a run lasts.
+/// The duration of a run.
 const DURATION: TenthMillis = 60 * SECOND;
-/// The module runs this often.
+/// The interval between steps of the decision modules.
 const STEP: TenthMillis = 10;
-/// How often routes are decided on.
+/// The interval between routing decisions.
 const DECISION_INTERVAL: TenthMillis = 5_000;
 
 impl World {
-    /// Runs from the first queries to the end.
+    /// Runs the simulation to its end and returns what was counted.
     pub(super) fn run(mut self) -> Totals {
         for coordinator in 0..self.coordinators.len() {
             self.schedule_query(coordinator);
--- a/crates/linenthread-simulation/src/failover/statistics.rs
+++ b/crates/linenthread-simulation/src/failover/statistics.rs
@@ -1,4 +1,4 @@
-//! What runs counted, and the table that is printed of them.
+//! The counters of runs, and the printed table.
 
 use linenthread_core::interface::TenthMillis;
 
@@ -7,19 +7,19 @@
 use super::policy::Policy;
 use crate::number;
 
-/// What a run counted, after the fault's start where it says so.
+/// The counters of a run. They cover the whole run unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Totals {
-    /// Queries after the fault's start.
+    /// Queries made after the fault's start.
     pub(super) queries: f64,
-    /// Of them, those that were answered in time.
+    /// The number of those queries that were answered in time.
     pub(super) served: f64,
     pub(super) attempts: f64,
-    /// Of them, those to another zone.
+    /// The number of those attempts that went to another zone.
     pub(super) crossing: f64,
-    /// Replicas that were overloaded while they warmed up, until they failed.
+    /// Replicas that failed from overload while they warmed up.
     pub(super) failed_replicas: u32,
-    /// From the fault's start to the first table that closes a route.
+    /// The time from the fault's start to the first table that closes a route.
     pub(super) reaction_time: Option<TenthMillis>,
 }
 
@@ -31,17 +31,17 @@
         self.0.iter().map(of).sum()
     }
 
-    /// The share of queries that were served.
+    /// Returns the share of queries that were served.
     pub(super) fn served_share(&self) -> f64 {
         self.sum(|t| t.served) / self.sum(|t| t.queries).max(1.0)
     }
 
-    /// The share of attempts that went to another zone.
+    /// Returns the share of attempts that went to another zone.
     fn crossing_share(&self) -> f64 {
         self.sum(|t| t.crossing) / self.sum(|t| t.attempts).max(1.0)
     }
 
-    /// A table's cell.
+    /// Formats a cell of the table.
     fn summary(&self) -> String {
         format!(
             "{:.3} {:.2} {}",
@@ -59,7 +59,6 @@
     }
 }
 
-/// Prints the heading of a table.
 pub(super) fn print_heading(utilization: f64) {
     println!(
         "utilization {utilization}: share of queries served, of attempts to other zones, warming-up replicas that failed"
@@ -68,7 +67,7 @@
     println!("{:10} {}  table after", "", headings.join(" "));
 }
 
-/// Prints the line of a fault: a cell for each policy, and the reaction time of deciding in common.
+/// Prints the line of a fault: a cell for each policy, and the median reaction time of the shared controller.
 pub(super) fn print_line(fault: Fault, runs: &[Runs]) {
     let cells: Vec<String> = runs
         .iter()
--- a/crates/linenthread-simulation/src/failover/topology.rs
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -1,4 +1,4 @@
-//! The zones, where the shards lie, and the settings of the failover controller.
+//! The zones, the placement of shards, and the failover controller.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,6 @@
 use crate::failover_config::failover_config;
 use crate::number;
 
-/// Replicas of each shard.
 const REPLICATION_FACTOR: usize = 2;
 
 pub(super) fn zone_names() -> Vec<String> {
@@ -19,13 +18,14 @@
         .to_vec()
 }
 
-/// A controller that has decided nothing yet.
+/// Returns a controller that has made no decision yet.
 pub(super) fn controller(now: TenthMillis) -> FailoverController {
     let zones = topology(&[]).zones;
-    FailoverController::new(failover_config(), zones, None, now).expect("a valid configuration")
+    FailoverController::new(failover_config(), zones, None, now)
+        .expect("the configuration is valid")
 }
 
-/// Zones and shards, with the replicas that are up.
+/// Returns the topology of zones and shards, with the replicas that are up.
 pub(super) fn topology(replicas: &[Replica]) -> Topology {
     let mut running = vec![0; ZONES];
     for (index, replica) in replicas.iter().enumerate() {
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients' queries, and the attempts and health checks by which coordinators serve them.
+//! Queries of clients, and the attempts and health checks that coordinators make.
 
 use linenthread_core::interface::{
     AttemptOutcome, AttemptResult, NewQuery, NewSubRequest, ProbeResult, QueryIndex, ReplicaIndex,
@@ -13,30 +13,30 @@
 use crate::number;
 use crate::random;
 
-/// After so long a query is over.
+/// The hard deadline of a query, relative to its arrival.
 const HARD_DEADLINE: TenthMillis = 15_000;
-/// What a health check takes beside its way.
+/// The time that a health check takes at the replica, in addition to the latency.
 const HEALTH_CHECK_TIME: TenthMillis = 5;
-/// What a health check into a partition takes.
+/// The time after which a health check across a partition fails.
 const HEALTH_CHECK_TIMEOUT: TenthMillis = 1_000;
-/// The elapsed time that is observed of each health check.
+/// The duration that the zone observer is given for each health check.
 const OBSERVED_HEALTH_CHECK: TenthMillis = 30;
-/// How many different keys queries have.
+/// The number of distinct keys of queries.
 const KEYS: u64 = 5_000;
-/// The shards of a query are so far apart.
+/// The distance between the shards of a query.
 const SHARD_STRIDE: usize = 7;
 
 impl World {
-    /// Schedules the next query of a client, at random.
+    /// Schedules the next query at a coordinator, after an exponentially distributed wait.
     pub(super) fn schedule_query(&mut self, coordinator: usize) {
         let wait = -(1.0 - self.rng.rand_float()).ln() / self.query_rate;
         self.schedule(number::time(wait), Event::Query { coordinator });
     }
 
-    /// A client sends a query.
+    /// Submits a client's query to a coordinator and schedules the next one.
     pub(super) fn on_query(&mut self, coordinator: usize) {
         self.schedule_query(coordinator);
-        // A lost zone's clients are lost with it.
+        // The clients of a lost zone are lost with it.
         if self.is_lost(self.coordinators[coordinator].zone) {
             return;
         }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Runs a coordinator's decision module and does what it requests.
+    /// Runs a coordinator's decision module and carries out its decisions.
     pub(super) fn run_coordinator(&mut self, coordinator: usize) {
         let decisions = self.coordinators[coordinator].step(self.now);
         for query in decisions.responded {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts a query that was answered in time and arrived after the fault's start.
+    /// Counts a query as served if it was answered in time and arrived after the fault's start.
     fn count_response(&mut self, coordinator: usize, query: QueryIndex) {
         let Some(query) = self.coordinators[coordinator].query(query) else {
             return;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// An attempt is over for its coordinator.
+    /// Ends an attempt for its coordinator, which is given the outcome. Does nothing if the attempt is already over.
     pub(super) fn end_attempt(&mut self, attempt: AttemptIndex, outcome: AttemptOutcome) {
         let attempt = &mut self.attempts[attempt];
         if std::mem::replace(&mut attempt.is_over, true) {
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: coordinators, replicas and the network between them.
+//! The state of a run: coordinators, replicas and the network between them.
 
 use linenthread_core::interface::{
     MembershipEntry, MembershipUpdate, Phase, QueryIndex, ReplicaIndex, SubRequestIndex,
@@ -18,16 +18,16 @@
 use crate::event_queue::EventQueue;
 use crate::number;
 
-/// The first replica's id; any number does.
+/// The id of the first replica; the value is arbitrary.
 const FIRST_REPLICA_ID: u64 = 1_000;
-/// One way within a zone.
+/// The one-way latency within a zone.
 const LOCAL_LATENCY: TenthMillis = 5;
-/// One way between zones.
+/// The one-way latency between zones.
 const REMOTE_LATENCY: TenthMillis = 25;
-/// The factor by which a slow zone is slower.
+/// The factor by which the replicas of a slow zone are slower.
 const SLOWDOWN: f64 = 6.0;
 
-/// One attempt of a sub-request.
+/// An attempt of a sub-request.
 pub(super) struct Attempt {
     pub(super) coordinator: usize,
     pub(super) query: QueryIndex,
@@ -36,11 +36,11 @@
     pub(super) replica: usize,
     pub(super) sent_at: TenthMillis,
     pub(super) is_over: bool,
-    /// The replica's queue as it arrived.
+    /// The length of the replica's queue when the attempt arrived.
     pub(super) queue_depth: u32,
 }
 
-/// One run.
+/// The state of a run.
 pub(super) struct World {
     pub(super) now: TenthMillis,
     pub(super) policy: Policy,
@@ -51,10 +51,10 @@
     pub(super) replicas: Vec<Replica>,
     pub(super) coordinators: Vec<CoordinatorNode>,
     pub(super) membership_updates: Vec<Vec<MembershipEntry>>,
-    /// Queries in a tenth of a millisecond at one coordinator.
+    /// Queries per tenth of a millisecond at one coordinator.
     pub(super) query_rate: f64,
     pub(super) controller: FailoverController,
-    /// Reports for the leader while there is none.
+    /// The sum of the reports that the leader has not processed yet.
     pub(super) pending_report: Report,
     pub(super) fault_is_active: bool,
     pub(super) fault_is_over: bool,
@@ -62,7 +62,7 @@
 }
 
 impl World {
-    /// A world in which no query has been made yet.
+    /// Creates the state before the first query.
     pub(super) fn new(policy: Policy, fault: Fault, utilization: f64, seed: u64) -> World {
         let capacity = number::float(REPLICAS) * number::float(CORES) / SERVICE_TIME;
         let coordinators = ZONES * PER_ZONE;
@@ -113,27 +113,27 @@
         }
     }
 
-    /// Schedules an event, for the next moment at the earliest.
+    /// Schedules an event after `wait`, but a tenth of a millisecond from now at the earliest.
     pub(super) fn schedule(&mut self, wait: TenthMillis, event: Event) {
         self.events.push(self.now + wait.max(1), event);
     }
 
-    /// Whether a zone is lost now.
+    /// Reports whether a zone is currently lost.
     pub(super) fn is_lost(&self, zone: usize) -> bool {
         self.fault_is_active && self.fault.loses(zone)
     }
 
-    /// Whether two zones cannot reach each other now.
+    /// Reports whether two zones currently cannot reach each other.
     pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
         self.fault_is_active && self.fault.partitions(a, b)
     }
 
-    /// Whether a coordinator and a replica cannot reach each other.
+    /// Reports whether a coordinator and a replica cannot reach each other.
     pub(super) fn is_unreachable(&self, coordinator: usize, replica: usize) -> bool {
         self.is_partitioned(self.coordinators[coordinator].zone, replica % ZONES)
     }
 
-    /// One way between a coordinator and a replica.
+    /// Returns the one-way latency between a coordinator and a replica.
     pub(super) fn latency(&self, coordinator: usize, replica: usize) -> TenthMillis {
         if self.coordinators[coordinator].zone == replica % ZONES {
             LOCAL_LATENCY
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The speed of a replica as a part of its full speed.
+    /// Returns the current speed of a replica as a fraction of its full speed.
     pub(super) fn speed(&self, replica: usize) -> f64 {
         let is_slow = self.fault_is_active && self.fault.slows(replica % ZONES);
         let slowdown = if is_slow { SLOWDOWN } else { 1.0 };
--- a/crates/linenthread-simulation/src/failover_config.rs
+++ b/crates/linenthread-simulation/src/failover_config.rs
@@ -1,10 +1,10 @@
-//! The settings of failover controllers in simulations.
+//! The configuration of failover controllers in simulations.
 
 use linenthread_zones::FailoverConfig;
 
 use crate::number::SECOND;
 
-/// Ejections so short that a schedule sees several of a zone, and its return.
+/// Returns a configuration with ejections short enough that a zone is ejected and returns several times in a schedule.
 pub(crate) fn failover_config() -> FailoverConfig {
     FailoverConfig {
         capacity_margin: 0.8,
--- a/crates/linenthread-simulation/src/fleet/connections.rs
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -1,4 +1,4 @@
-//! Connections between processes, and the bytes and datagrams on their way.
+//! Opens and closes connections between processes, and carries their bytes and datagrams.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::ConnectionId;
@@ -8,13 +8,13 @@
 use super::network::{End, Sides};
 use super::world::World;
 
-/// How long a connection attempt into a partition takes.
+/// The time after which a connection attempt across a partition fails.
 const CONNECT_TIMEOUT: TenthMillis = 10 * SECOND;
-/// How long a connection attempt takes that is refused.
+/// The time after which a refused connection attempt fails.
 const REFUSE_LATENCY: TenthMillis = 10;
 
 impl World {
-    /// A connection attempt arrives: it is accepted, refused, or lost in a partition.
+    /// Handles a connection attempt, which is accepted, refused, or lost in a partition.
     pub(super) fn on_connect(
         &mut self,
         from: ProcessIndex,
@@ -50,7 +50,7 @@
         self.schedule(wait, Event::Closed { link, side });
     }
 
-    /// Whether a process accepts a connection.
+    /// Offers a connection to a process, and reports whether it was accepted.
     fn accept(&mut self, connecting: End, to: ProcessIndex) -> bool {
         let link = self.events.next_number();
         let process = &mut self.processes[to];
@@ -62,7 +62,7 @@
         let Some(connection) = fleet.on_accepted(now, &mut actions) else {
             return false;
         };
-        // The link is there before anything is sent over it.
+        // The link must exist before the actions send anything over it.
         let accepting = End {
             process: to,
             connection,
@@ -76,7 +76,7 @@
         true
     }
 
-    /// Bytes arrive at a side of a link.
+    /// Delivers bytes to a side of a link.
     pub(super) fn on_bytes(&mut self, link: LinkNumber, side: Side, bytes: &[u8]) {
         if let Some(end) = self.network.current_end(link, side) {
             self.call(end.process, |fleet, now, actions| {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A side of a link learns that the other has closed it.
+    /// Notifies a side of a link that the connection is closed.
     pub(super) fn on_closed(&mut self, link: LinkNumber, side: Side) {
         if let Some(end) = self.network.current_end(link, side) {
             self.network.forget(end);
@@ -96,7 +96,7 @@
         self.network.remove_if_over(link);
     }
 
-    /// A process closes a link; the other side learns of it, if anything reaches it.
+    /// Closes a link for a process. The other side is notified, unless a partition prevents it.
     pub(super) fn close_link(&mut self, link: LinkNumber, process: ProcessIndex) {
         if let Some(side) = self.network.close(link, process) {
             let latency = self.latency();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A process sends bytes on a connection.
+    /// Sends bytes on a connection of a process.
     pub(super) fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
         let from = End {
             process: at,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A process sends a datagram, which may be lost.
+    /// Sends a datagram, which is lost in a partition or at random.
     pub(super) fn send_datagram(&mut self, from: ProcessIndex, to: ProcessIndex, bytes: Vec<u8>) {
         if !self.network.is_partitioned(from, to) && self.rng.rand_float() >= self.network.loss {
             let latency = self.latency();
--- a/crates/linenthread-simulation/src/fleet/event.rs
+++ b/crates/linenthread-simulation/src/fleet/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a moment of simulated time.
+//! The events in simulated time.
 
 use linenthread_fleet::ConnectionId;
 
@@ -10,9 +10,9 @@
 /// A side of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Side {
-    /// The process that asked for the connection.
+    /// The process that opens the connection.
     Connecting,
-    /// The process that accepts it.
+    /// The process that accepts the connection.
     Accepting,
 }
 
@@ -28,12 +28,12 @@
 /// An event in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Event {
-    /// A process's timer expires; the number tells the newest timer from those before it.
+    /// A timer of a process expires. It is ignored unless the number is that of the newest timer.
     Wake(ProcessIndex, u64),
-    /// A connection arrives.
+    /// A connection attempt arrives.
     Connect {
         from: ProcessIndex,
-        /// The connection's id at the process that connects.
+        /// The connection's id at the connecting process.
         connection: ConnectionId,
         to: ProcessIndex,
     },
@@ -43,7 +43,7 @@
         side: Side,
         bytes: Vec<u8>,
     },
-    /// A side of a link learns that the other has closed it.
+    /// A side of a link is notified that the connection is closed.
     Closed { link: LinkNumber, side: Side },
     /// A datagram arrives.
     Datagram { to: ProcessIndex, bytes: Vec<u8> },
@@ -51,12 +51,12 @@
     Start(ProcessIndex),
     /// A paused process resumes.
     Resume(ProcessIndex),
-    /// A random process crashes and starts again at once.
+    /// A random process crashes and restarts immediately.
     Restart,
     /// All partitions end.
     Heal,
     /// A random fault is injected.
     Fault,
-    /// Leaders propose values.
+    /// Each leader proposes a value.
     Propose,
 }
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -1,4 +1,4 @@
-//! A step of a process: it is called, and what it requests is performed.
+//! Calls processes and performs the actions that they request.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::{Fleet, FleetAction, FleetEvent};
@@ -10,11 +10,11 @@
 use super::world::World;
 use crate::number;
 
-/// Set in the environment, it has all events of the fleets printed.
+/// The environment variable that makes the simulation print all events of the fleets.
 const SHOW_VARIABLE: &str = "SHOW";
 
 impl World {
-    /// Starts a process, if it does not run.
+    /// Starts a process unless it runs.
     pub(super) fn start(&mut self, at: ProcessIndex) {
         if self.processes[at].fleet.is_some() {
             return;
@@ -36,7 +36,8 @@
         self.perform(at, actions);
     }
 
-    /// Calls a process and performs what it requests.
+    /// Calls a process with its local time, performs the resulting actions, and checks the invariants. Does nothing if
+    /// the process does not run.
     pub(super) fn call(
         &mut self,
         at: ProcessIndex,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Performs what a process requests, and sets its timer.
+    /// Performs the actions of a process and sets its timer.
     pub(super) fn perform(&mut self, at: ProcessIndex, actions: Vec<FleetAction>) {
         for action in actions {
             match action {
@@ -94,7 +95,7 @@
         self.set_timer(at);
     }
 
-    /// Counts what a process logs, and prints it if that is asked for.
+    /// Counts an event that a process logs, and prints it if [`SHOW_VARIABLE`] is set.
     fn on_event(&mut self, at: ProcessIndex, event: &FleetEvent) {
         match event {
             FleetEvent::LeadershipAcquired { .. } => self.totals.leaders += 1,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Schedules the next timer of a process, where it is earlier than the current one.
+    /// Schedules the next timer of a process if it is earlier than the current one or that one has expired.
     fn set_timer(&mut self, at: ProcessIndex) {
         let process = &mut self.processes[at];
         let Some(fleet) = &process.fleet else {
--- a/crates/linenthread-simulation/src/fleet/faults.rs
+++ b/crates/linenthread-simulation/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: crashes with and without disk, pauses, partitions, failing disks, loss and latency.
+//! Injects faults: crashes with and without loss of the disk, pauses, partitions, failing disks, loss and latency.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::Fleet;
@@ -7,7 +7,7 @@
 use super::world::World;
 use crate::random;
 
-/// A pause lasts this much longer than other faults: longer than any lease.
+/// The time by which a pause is longer than other faults, so that it outlasts any lease.
 const EXTRA_PAUSE: TenthMillis = 20_000;
 
 impl World {
@@ -24,7 +24,7 @@
                 self.heal_later();
             }
             12 => {
-                // One pair, both ways; and one that starts again at once meanwhile.
+                // Partitions a pair in both directions; meanwhile a random process restarts.
                 let other = self.random_process();
                 let both_ways = [(at, other), (other, at)];
                 self.network.partitions.extend(both_ways);
@@ -51,12 +51,12 @@
         self.schedule(wait, Event::Fault);
     }
 
-    /// How long a fault lasts.
+    /// Draws the duration of a fault.
     fn random_duration(&mut self) -> TenthMillis {
         self.random_time(1_000..80_000)
     }
 
-    /// A process crashes, perhaps with its disk, and starts again later.
+    /// Crashes a process, possibly with the loss of its disk, and schedules its restart.
     fn crash_for_a_while(&mut self, at: ProcessIndex) {
         let loses_disk =
             self.rng.rand_range(0..3) == 0 && (at >= self.voters || self.may_lose_disk(at));
@@ -65,12 +65,13 @@
         self.schedule(wait, Event::Start(at));
     }
 
-    /// Whether a voter's disk may be lost: all others vote, so that committed values are on a majority of disks.
+    /// Reports whether a voter's disk may be lost: only if all other voters vote, so that committed values remain on a
+    /// majority of disks.
     fn may_lose_disk(&self, at: ProcessIndex) -> bool {
         (0..self.voters).all(|voter| voter == at || self.processes[voter].votes())
     }
 
-    /// A process pauses; what arrives meanwhile waits.
+    /// Pauses a process. Events that arrive during the pause wait for its end.
     fn pause(&mut self, at: ProcessIndex) {
         if self.processes[at].fleet.is_some() && !self.processes[at].is_paused {
             self.processes[at].is_paused = true;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Partitions all processes into two groups, one way or both.
+    /// Partitions all processes into two random groups, in one direction or both.
     fn partition_groups(&mut self) {
         let count = self.processes.len();
         let in_group: Vec<bool> = (0..count).map(|_| self.rng.rand_range(0..2) == 0).collect();
@@ -99,7 +100,7 @@
         self.schedule(wait, Event::Heal);
     }
 
-    /// Ends a process at once.
+    /// Crashes a process and closes its connections.
     pub(super) fn crash(&mut self, at: ProcessIndex, loses_disk: bool) {
         if self.processes[at].crash(loses_disk, &mut self.rng) {
             for link in self.network.links_of(at) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// A paused process resumes: what arrived meanwhile is all there at once, in its order.
+    /// Resumes a paused process and delivers the events that arrived during the pause, in their order.
     pub(super) fn resume(&mut self, at: ProcessIndex) {
         let process = &mut self.processes[at];
         if !process.is_paused {
@@ -117,7 +118,7 @@
         process.is_paused = false;
         process.wake_at = TenthMillis::MAX;
         let mut waiting = std::mem::take(&mut process.waiting);
-        // Which of its own timers or its sockets it looks at first is random.
+        // Whether the process handles its timers or its sockets first is random.
         if self.rng.rand_range(0..2) == 0 {
             self.call(at, Fleet::wake);
         }
@@ -128,7 +129,7 @@
         self.call(at, Fleet::wake);
     }
 
-    /// A random process crashes and starts again at once.
+    /// Crashes a random process, which restarts after a few milliseconds.
     pub(super) fn restart_random(&mut self) {
         let at = self.random_process();
         self.crash(at, false);
--- a/crates/linenthread-simulation/src/fleet/invariant.rs
+++ b/crates/linenthread-simulation/src/fleet/invariant.rs
@@ -1,21 +1,22 @@
-//! The invariants that hold in every schedule. `docs/failover-design.md` says what upholds most of them.
+//! The invariants that hold in every schedule. `docs/failover-design.md` explains how most of them are ensured.
 
 use std::fmt;
 
 /// An invariant. A violation is printed under its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Invariant {
-    /// No two values are committed under one topic and number.
+    /// No two different values are committed under the same topic and number.
     OneValuePerNumber,
-    /// At no moment two running processes hold the lease.
+    /// At no time do two running processes hold the lease.
     OneLeader,
-    /// A voter that lost its disk never votes under its former identity.
+    /// A voter that lost its disk never uses its former identity again.
     NewDiskNewIdentity,
-    /// A process starts from whatever its disk holds.
+    /// A process can start from any state that its disk was left in.
     Restarts,
-    /// Where values are proposed, some are committed.
+    /// If values are proposed, at least one is committed.
     Commits,
-    /// After the faults the fleet is soon complete again: one leader, all voters vote, all know all members and values.
+    /// After the faults the fleet is complete again in time: it has one leader, all voters vote, and all processes know
+    /// all members and the newest values.
     Recovers,
 }
 
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold at every moment, and once all faults have ended.
+//! The checks after each call of a process, and those after all faults have ended.
 
 use std::collections::BTreeSet;
 
@@ -11,13 +11,13 @@
 use super::world::World;
 
 impl World {
-    /// Whether a process leads and is not paused.
+    /// Reports whether a process is the leader and is not paused.
     pub(super) fn is_running_leader(&self, at: ProcessIndex) -> bool {
         let process = &self.processes[at];
         !process.is_paused && process.is_leader(self.now)
     }
 
-    /// Checks the invariants after a process was called.
+    /// Checks *one-leader* and *new-disk-new-identity*; called after each call of a process.
     pub(super) fn check(&mut self, at: ProcessIndex) {
         let leaders: Vec<String> = (0..self.voters)
             .filter(|&at| self.is_running_leader(at))
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Why the fleet is not complete: one leader, all voters vote, all know all others and the newest values.
+    /// Returns why the fleet is not complete; `None` if it has one leader, all voters vote, and all processes know all
+    /// others and the newest values.
     pub(super) fn why_incomplete(&self) -> Option<String> {
         let leaders = self.processes[..self.voters].iter();
         let leaders = leaders
@@ -81,7 +82,7 @@
             let numbers = keys.filter(|(known, _)| known == topic);
             numbers.map(|(_, number)| *number).max().unwrap_or(0)
         };
-        // One more may be on its way while proposals go on.
+        // Proposals continue, so the newest values may still be in flight.
         let is_outdated = |topic: &str| fleet.table().number(topic) + 2 < newest(topic);
         let topic = TOPICS.into_iter().find(|topic| is_outdated(topic))?;
         let (number, newest) = (fleet.table().number(topic), newest(topic));
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -1,23 +1,24 @@
-//! Fleets of co-ordinators in simulated time: membership by gossip and the state that voters replicate.
+//! Checks fleets of co-ordinators in simulated time: membership by gossip, and the state that voters replicate.
 //!
-//! Leaders propose values on two topics. Faults ([`faults`]): processes crash with and without their disk, restart at
-//! once, and pause for longer than a lease; pairs and groups are partitioned, one way or both; disks fail to sync or
-//! are full; datagrams are lost, and everything is late. All clocks run at slightly different rates. Faults end after
-//! 40 s, and the fleet has 25 s to recover.
+//! Leaders propose values on two topics. Faults ([`faults`]): processes crash, with or without the loss of their disk,
+//! restart immediately, and pause for longer than a lease; pairs and groups are partitioned, in one direction or both;
+//! disks fail to sync or are full; datagrams are lost, and latencies are high. All clocks run at slightly different
+//! rates. Faults end after 40 s, and the fleet has 25 s to recover.
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
-//! | one-value-per-number | no two values are committed under one topic and number |
-//! | one-leader | at no moment two running processes hold the lease |
-//! | new-disk-new-identity | a voter that lost its disk never votes under its former identity |
-//! | restarts | a process starts from whatever its disk holds |
-//! | commits | where values are proposed, some are committed |
-//! | recovers | after the faults: one leader, all voters vote, all know all members and the newest values |
+//! | one-value-per-number | no two different values are committed under the same topic and number |
+//! | one-leader | at no time do two running processes hold the lease |
+//! | new-disk-new-identity | a voter that lost its disk never uses its former identity again |
+//! | restarts | a process can start from any state that its disk was left in |
+//! | commits | if values are proposed, at least one is committed |
+//! | recovers | after the faults there is one leader, all voters vote, all know all members and the newest values |
 //!
-//! A violation is printed with its schedule, which is the seed. To run that one again, with all events of the fleets:
+//! A violation is printed with its schedule, which is the seed. To repeat a schedule and print all events of the fleets:
 //! `SHOW=1 linenthread-simulation fleet --schedules 1 --seed N`.
 //!
-//! Start reading at [`simulation`]; `execution` is a step of a process, `connections` what is sent between them.
+//! Start reading at [`simulation`]; `execution` calls processes and performs their actions, `connections` carries what
+//! they send.
 
 mod connections;
 mod event;
@@ -41,25 +42,25 @@
 use statistics::{Totals, print_summary};
 use world::World;
 
-/// Faults are injected for so long, then all of them end.
+/// The time at which all faults end.
 const FAULTS_END: TenthMillis = 40 * SECOND;
-/// Within so long after that the fleet must be complete again.
+/// The time after [`FAULTS_END`] within which the fleet must be complete again.
 const RECOVERY_TIME: TenthMillis = 25 * SECOND;
-/// And it must stay so for this long.
+/// How long the fleet must stay complete to count as recovered.
 const STABLE_TIME: TenthMillis = SECOND;
-/// The most violations that are printed.
+/// The maximum number of violations printed.
 const MAX_PRINTED: usize = 20;
 
-/// Which schedules are run.
+/// Options of the command.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// How many.
+    /// The number of schedules.
     pub(crate) schedules: usize,
-    /// The seed of the first; the others count on from it.
+    /// The seed of the first schedule; each further schedule uses the next seed.
     pub(crate) seed: u64,
 }
 
-/// What became of a schedule.
+/// The outcome of a schedule.
 struct Outcome {
     violations: Vec<String>,
     totals: Totals,
--- a/crates/linenthread-simulation/src/fleet/network.rs
+++ b/crates/linenthread-simulation/src/fleet/network.rs
@@ -1,4 +1,4 @@
-//! Links between processes, partitions, loss and latency.
+//! The network between processes: links, partitions, loss and latency.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
@@ -10,15 +10,15 @@
 use super::event::{LinkNumber, ProcessIndex, Side};
 use crate::random;
 
-/// A connection at a process.
+/// An end of a link: a process and its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct End {
     pub(super) process: ProcessIndex,
-    /// The connection's number at the process.
+    /// The connection's id at the process.
     pub(super) connection: ConnectionId,
 }
 
-/// A value of each side of a link.
+/// A value for each side of a link.
 pub(super) struct Sides<T> {
     pub(super) connecting: T,
     pub(super) accepting: T,
@@ -59,18 +59,18 @@
     }
 }
 
-/// A connection as the network has it. Bytes arrive in their order.
+/// A connection between two processes. Bytes arrive in the order in which they were sent.
 pub(super) struct Link {
     pub(super) ends: Sides<End>,
-    /// By sending side, when the last bytes arrive at the other.
+    /// The arrival time of the last bytes that each side sent.
     last_arrival: Sides<TenthMillis>,
-    /// By sending side: what it sends is lost from now on, since something was sent into a partition.
+    /// Whether everything that a side sends is lost, because it has sent bytes into a partition.
     is_dead: Sides<bool>,
     is_open: bool,
 }
 
 impl Link {
-    /// A link that both processes have.
+    /// Creates a link that is open at both processes.
     fn open(ends: Sides<End>) -> Link {
         Link {
             ends,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A connection that could not be made.
+    /// Creates the link of a connection that could not be opened.
     fn refused(ends: Sides<End>) -> Link {
         Link {
             is_dead: Sides::both(true),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The side of a process.
+    /// Returns the side of the link that a process is on.
     pub(super) fn side_of(&self, process: ProcessIndex) -> Side {
         if self.ends.connecting.process == process {
             Side::Connecting
@@ -103,18 +103,18 @@
 #[derive(Default)]
 pub(super) struct Network {
     links: BTreeMap<LinkNumber, Link>,
-    /// The links of connections that processes still have.
+    /// The link of each connection that a process has not closed.
     by_end: BTreeMap<End, LinkNumber>,
-    /// Directed pairs between which nothing arrives.
+    /// The directed pairs of processes between which nothing arrives.
     pub(super) partitions: BTreeSet<(ProcessIndex, ProcessIndex)>,
     /// The probability that a datagram is lost.
     pub(super) loss: f64,
-    /// Random latency that is added to the usual one, at most.
+    /// The upper bound of the random latency that is added to the usual one.
     pub(super) extra_latency: TenthMillis,
 }
 
 impl Network {
-    /// A random latency of one way.
+    /// Draws a one-way latency.
     pub(super) fn latency(&self, rng: &mut Rand64) -> TenthMillis {
         let usual = 5 + random::time_below(rng, 20);
         if self.extra_latency > 0 {
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Whether nothing arrives from one process at another.
+    /// Reports whether nothing that one process sends arrives at the other.
     pub(super) fn is_partitioned(&self, from: ProcessIndex, to: ProcessIndex) -> bool {
         self.partitions.contains(&(from, to))
     }
 
-    /// Adds a connection that both sides have.
+    /// Adds a connection that is open at both sides.
     pub(super) fn add_link(&mut self, number: LinkNumber, ends: Sides<End>) {
         for end in ends.as_array() {
             self.by_end.insert(*end, number);
@@ -137,7 +137,7 @@
         self.links.insert(number, Link::open(ends));
     }
 
-    /// Adds a connection that only the connecting side has.
+    /// Adds a connection that could not be opened and that only the connecting side knows.
     pub(super) fn add_refused(&mut self, number: LinkNumber, ends: Sides<End>) {
         self.by_end.insert(ends.connecting, number);
         self.links.insert(number, Link::refused(ends));
@@ -147,12 +147,12 @@
         self.links.get(&number)
     }
 
-    /// The link of a process's connection.
+    /// Returns the link of a process's connection.
     pub(super) fn link_at(&self, end: End) -> Option<LinkNumber> {
         self.by_end.get(&end).copied()
     }
 
-    /// The end of a link at a side, while the process there still has the connection.
+    /// Returns the end at a side of a link, if the process there has not closed the connection.
     pub(super) fn current_end(&self, number: LinkNumber, side: Side) -> Option<End> {
         let end = self.link(number)?.ends[side];
         (self.link_at(end) == Some(number)).then_some(end)
@@ -169,7 +169,7 @@
         of_process.map(|(number, _)| *number).collect()
     }
 
-    /// When bytes that are sent now arrive at the other side, and at which; `None` if they are lost.
+    /// Sends bytes over a link. Returns the arrival time and the receiving side; `None` if they are lost.
     pub(super) fn send(
         &mut self,
         number: LinkNumber,
@@ -194,7 +194,7 @@
         Some((arrival, other))
     }
 
-    /// A process closes a link. Returns the other side, if that will learn of it.
+    /// Closes a link for a process. Returns the other side if it can be notified.
     pub(super) fn close(&mut self, number: LinkNumber, process: ProcessIndex) -> Option<Side> {
         let link = self.links.get_mut(&number)?;
         let side = link.side_of(process);
@@ -204,12 +204,12 @@
         (!self.is_partitioned(process, other.process)).then_some(side.other())
     }
 
-    /// A process has learned that its connection is closed.
+    /// Removes the end of a process that has been notified that its connection is closed.
     pub(super) fn forget(&mut self, end: End) {
         self.by_end.remove(&end);
     }
 
-    /// Removes a link that neither process has any more.
+    /// Removes a link that is closed and has no end left.
     pub(super) fn remove_if_over(&mut self, number: LinkNumber) {
         let Some(link) = self.links.get(&number) else {
             return;
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Ends all faults of the network.
+    /// Ends all partitions, loss and extra latency.
     pub(super) fn heal(&mut self) {
         self.partitions.clear();
         self.loss = 0.0;
--- a/crates/linenthread-simulation/src/fleet/process.rs
+++ b/crates/linenthread-simulation/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process of the simulated fleet.
+//! A process of the simulated fleet.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 use crate::number;
 use crate::random;
 
-/// A disk, which outlives its process.
+/// A disk, which survives a crash of its process.
 pub(super) type Disk = Rc<RefCell<SimulatedDisk>>;
 
 const FIRST_PORT: u16 = 7_000;
-/// Incarnations of successive starts differ by this.
+/// The difference between the incarnations of successive starts.
 const INCARNATION_STEP: u64 = 1_000_000;
 const PROBE_INTERVAL: TenthMillis = 5_000;
 
@@ -29,31 +29,29 @@
 pub(super) struct Process {
     pub(super) fleet: Option<Fleet<Disk>>,
     pub(super) disk: Disk,
-    /// How fast its clock runs.
+    /// The rate of its clock relative to simulated time.
     clock_rate: f64,
     clock_offset: TenthMillis,
-    /// It does not run, and what arrives waits.
+    /// Whether it is paused; events that arrive meanwhile are kept in `waiting`.
     pub(super) is_paused: bool,
     pub(super) waiting: Vec<Event>,
-    /// The number of its newest timer.
+    /// The number of its newest timer; older timers are ignored.
     pub(super) timer: u64,
-    /// When its newest timer expires.
+    /// When its newest timer expires; `TenthMillis::MAX` if none is set.
     pub(super) wake_at: TenthMillis,
     starts: u64,
-    /// The incarnation that it had before its disk was lost, where it had taken part.
+    /// The incarnation that its voter had before the disk was lost, if the voter was active.
     pub(super) former_incarnation: Option<VoterIncarnation>,
 }
 
-/// The name of a process.
 pub(super) fn name(index: ProcessIndex) -> String {
     format!("m{index:02}")
 }
 
-/// The address of a process.
 pub(super) fn address(index: ProcessIndex) -> SocketAddr {
     (
         [127, 0, 0, 1],
-        FIRST_PORT + u16::try_from(index).expect("few processes"),
+        FIRST_PORT + u16::try_from(index).expect("the index fits into a port number"),
     )
         .into()
 }
@@ -65,17 +63,17 @@
     }
 }
 
-/// The process at an address.
+/// Returns the process at an address, the inverse of [`address`].
 pub(super) fn index(address: SocketAddr) -> ProcessIndex {
     usize::from(address.port() - FIRST_PORT)
 }
 
 fn secrets() -> Secrets {
-    Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough")
+    Secrets::new(vec![b"a secret of some length".to_vec()]).expect("the secret is long enough")
 }
 
 impl Process {
-    /// A process that has not started yet.
+    /// Creates a process that has not started yet.
     pub(super) fn new(rng: &mut Rand64) -> Process {
         Process {
             fleet: None,
@@ -91,17 +89,17 @@
         }
     }
 
-    /// The time by its own clock.
+    /// Converts simulated time to the time of its own clock.
     pub(super) fn local_time(&self, now: TenthMillis) -> TenthMillis {
         self.clock_offset + number::time(number::float_of_time(now) * self.clock_rate)
     }
 
-    /// The first moment of simulated time at which its own clock has reached a time.
+    /// Returns the first simulated time at which its own clock has reached `local`.
     pub(super) fn global_time(&self, local: TenthMillis) -> TenthMillis {
         number::time((number::float_of_time(local - self.clock_offset) / self.clock_rate).ceil())
     }
 
-    /// The configuration for its next start.
+    /// Counts a start and returns the configuration for it.
     pub(super) fn next_config(
         &mut self,
         index: ProcessIndex,
@@ -129,25 +127,25 @@
         }
     }
 
-    /// Whether it runs and leads.
+    /// Reports whether it runs and is the leader.
     pub(super) fn is_leader(&self, now: TenthMillis) -> bool {
         let local = self.local_time(now);
         let fleet = self.fleet.as_ref();
         fleet.is_some_and(|fleet| fleet.is_leader(local))
     }
 
-    /// Whether it is one of those that vote, by all that it knows.
+    /// Reports whether it runs and, by its own knowledge, its voter votes.
     pub(super) fn votes(&self) -> bool {
         let voter = self.fleet.as_ref().and_then(Fleet::voter);
         voter.is_some_and(Voter::votes)
     }
 
-    /// The incarnation of its voter's identity.
+    /// Returns the incarnation of its voter.
     pub(super) fn incarnation(&self) -> Option<VoterIncarnation> {
         self.fleet.as_ref()?.voter()?.incarnation()
     }
 
-    /// Ends it, with its disk or without; whether it had been running.
+    /// Crashes the process, with or without the loss of its disk. Returns false if it was not running.
     pub(super) fn crash(&mut self, loses_disk: bool, rng: &mut Rand64) -> bool {
         let Some(fleet) = self.fleet.take() else {
             return false;
--- a/crates/linenthread-simulation/src/fleet/recovery.rs
+++ b/crates/linenthread-simulation/src/fleet/recovery.rs
@@ -1,4 +1,4 @@
-//! Ends all faults of a schedule.
+//! The end of all faults of a schedule.
 
 use linenthread_fleet::Fleet;
 
@@ -6,7 +6,8 @@
 use super::world::World;
 
 impl World {
-    /// Ends all faults.
+    /// Ends all faults: heals the network and the disks, resumes paused processes, reopens stopped voters, and starts the
+    /// processes that don't run.
     pub(super) fn end_faults(&mut self) {
         self.network.heal();
         self.events
@@ -24,13 +25,13 @@
         }
     }
 
-    /// Opens a voter anew, as the program does once its disk works again.
+    /// Reopens a voter from its disk, as the program does when the disk works again.
     fn reopen_voter(&mut self, at: ProcessIndex) {
         let disk = self.processes[at].disk.clone();
         disk.borrow_mut().crash(&mut self.rng);
         self.call(at, |fleet, now, actions| {
             let opened = fleet.open_voter(disk, now, actions);
-            opened.expect("a sound disk");
+            opened.expect("the disk is intact");
         });
     }
 }
--- a/crates/linenthread-simulation/src/fleet/simulation.rs
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! One schedule from its start to its end, event by event.
+//! A schedule from start to end, event by event.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::Fleet;
@@ -8,18 +8,18 @@
 use super::world::{MAX_VIOLATIONS, World};
 use super::{FAULTS_END, Outcome, RECOVERY_TIME, SECOND, STABLE_TIME};
 
-/// How often [`World::run_until`] checks whether to stop.
+/// The minimum time between two checks of [`World::run_until`] whether to stop.
 const STOP_CHECK_INTERVAL: TenthMillis = 1_000;
 
 impl World {
-    /// Runs a schedule.
+    /// Runs the schedule and returns its outcome.
     pub(super) fn run(mut self) -> Outcome {
         for at in 0..self.processes.len() {
             let wait = self.random_time(0..20_000);
             self.schedule(wait, Event::Start(at));
         }
         self.schedule(SECOND, Event::Propose);
-        // Faults may be injected while the fleet is founded.
+        // Faults may be injected even while the fleet is being bootstrapped.
         let first = self.random_time(0..100_000);
         self.schedule(first, Event::Fault);
         self.run_until(FAULTS_END, |_| false);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Runs on after all faults until the fleet is complete, and stays so.
+    /// Runs after the end of all faults until the fleet is complete and stays complete for [`STABLE_TIME`].
     fn run_recovery(&mut self) {
         let started_at = self.now;
         let mut complete_since = None;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Handles events until a time, or until `stop` returns true, which is returned.
+    /// Handles events until `end` or until `stop` returns true. Returns whether `stop` did.
     pub(super) fn run_until(
         &mut self,
         end: TenthMillis,
@@ -80,7 +80,7 @@
         false
     }
 
-    /// Handles an event; it waits if the process that it arrives at is paused.
+    /// Handles an event, or keeps it for later if the receiving process is paused.
     pub(super) fn handle(&mut self, event: Event) {
         let receiver = self.receiver(&event);
         if let Some(at) = receiver.filter(|at| self.processes[*at].is_paused) {
--- a/crates/linenthread-simulation/src/fleet/statistics.rs
+++ b/crates/linenthread-simulation/src/fleet/statistics.rs
@@ -1,24 +1,24 @@
-//! What schedules counted, and the summary that is printed of them.
+//! The counters of schedules, and the printed summary.
 
 use linenthread_core::interface::TenthMillis;
 
 use super::{Outcome, STABLE_TIME};
 use crate::number;
 
-/// What a schedule counted.
+/// The counters of a schedule.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Totals {
-    /// Values that were reported as committed, counted at each process.
+    /// The number of values reported as committed, summed over all processes.
     pub(super) committed: u64,
-    /// How often a process began to lead.
+    /// How often a process became the leader.
     pub(super) leaders: u64,
-    /// Identities that were replaced since a disk was lost.
+    /// The number of identities that were replaced because a disk was lost.
     pub(super) replaced: u64,
-    /// How long after the end of all faults the fleet was complete for [`STABLE_TIME`].
+    /// The time from the end of all faults until the fleet had been complete for [`STABLE_TIME`].
     pub(super) recovered_after: TenthMillis,
 }
 
-/// Prints what all schedules counted together.
+/// Prints the sums of all counters, and percentiles of the recovery time.
 pub(super) fn print_summary(outcomes: &[Outcome]) {
     let sum = |of: fn(&Totals) -> u64| -> u64 { outcomes.iter().map(|o| of(&o.totals)).sum() };
     let recovery = outcomes
--- a/crates/linenthread-simulation/src/fleet/traffic.rs
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! The values that leaders propose, and those that are committed.
+//! The values that leaders propose and processes report as committed.
 
 use linenthread_fleet::{CommittedValue, ConditionalWrite};
 
@@ -13,7 +13,7 @@
 pub(super) const TOPICS: [&str; 2] = ["table", "orders"];
 
 impl World {
-    /// Each leader proposes a value; there is one at most, unless an invariant is broken.
+    /// Makes each leader propose a value. There is at most one leader unless *one-leader* is violated.
     pub(super) fn propose(&mut self) {
         for at in 0..self.voters {
             if !self.is_running_leader(at) {
@@ -29,7 +29,7 @@
                     expected_number: fleet.table().number(topic),
                     value,
                 };
-                // One that is refused is proposed no more: another follows.
+                // A rejected proposal is not repeated; another value follows.
                 let _ = fleet.propose(now, &write, actions);
             });
         }
@@ -37,7 +37,7 @@
         self.schedule(wait, Event::Propose);
     }
 
-    /// A process reports a value as committed.
+    /// Records a value that a process reports as committed. Checks *one-value-per-number*.
     pub(super) fn on_committed(&mut self, at: ProcessIndex, committed: CommittedValue) {
         let CommittedValue {
             topic,
--- a/crates/linenthread-simulation/src/fleet/world.rs
+++ b/crates/linenthread-simulation/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: a queue of events, processes on clocks of their own, and the network between them.
+//! The state of a schedule: the queue of events, the processes with their clocks, and the network between them.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +14,17 @@
 use crate::number;
 use crate::random;
 
-/// A schedule ends after so many violations.
+/// Each phase of a schedule ends early when there are more violations than this.
 pub(super) const MAX_VIOLATIONS: usize = 3;
 
-/// One schedule.
+/// The state of a schedule.
 pub(super) struct World {
     pub(super) now: TenthMillis,
     pub(super) rng: Rand64,
     pub(super) events: EventQueue<Event>,
     pub(super) network: Network,
     pub(super) processes: Vec<Process>,
-    /// The first so many processes are voters.
+    /// The number of voters, which are the first processes.
     pub(super) voters: usize,
     seed: u64,
     /// All values that any process has reported as committed.
@@ -35,7 +35,7 @@
 }
 
 impl World {
-    /// A fleet of which no process has started yet.
+    /// Creates a fleet in which no process has started yet.
     pub(super) fn new(seed: u64) -> World {
         let mut rng = Rand64::new(u128::from(seed));
         let voters = [3, 3, 5][random::index(&mut rng, 3)];
@@ -65,17 +65,17 @@
         ));
     }
 
-    /// Schedules an event.
+    /// Schedules an event after `wait`; a negative wait counts as 0.
     pub(super) fn schedule(&mut self, wait: TenthMillis, event: Event) {
         self.events.push(self.now + wait.max(0), event);
     }
 
-    /// A random latency of one way.
+    /// Draws a one-way latency.
     pub(super) fn latency(&mut self) -> TenthMillis {
         self.network.latency(&mut self.rng)
     }
 
-    /// A random time from `range`, in tenths of a millisecond.
+    /// Draws a time from `range`, in tenths of a millisecond.
     pub(super) fn random_time(&mut self, range: std::ops::Range<u64>) -> TenthMillis {
         random::within(&mut self.rng, range)
     }
@@ -84,7 +84,7 @@
         random::index(&mut self.rng, self.processes.len())
     }
 
-    /// The process that an event arrives at.
+    /// Returns the process that an event arrives at; `None` if there is none or its link no longer exists.
     pub(super) fn receiver(&self, event: &Event) -> Option<ProcessIndex> {
         match event {
             Event::Wake(at, _) => Some(*at),
--- a/crates/linenthread-simulation/src/link/call_record.rs
+++ b/crates/linenthread-simulation/src/link/call_record.rs
@@ -1,15 +1,15 @@
-//! What truly became of each call.
+//! The record of each call, for the checks at the end of a schedule.
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
 use super::invariant::{Invariant, Violation};
 use super::{FAULTS, MILLISECOND, RECOVERY, START};
 
-/// A call that has this long must be answered once the link has recovered: both ways, the queue before it and
-/// its own run.
+/// A call with a longer deadline than this must be answered once the link has recovered. The time is sufficient for the
+/// round trip, the queue ahead of the call and its execution.
 const SUFFICIENT_TIME: TenthMillis = 500 * MILLISECOND;
 
-/// What truly became of a call, by the number of the call in the schedule.
+/// How often a call really ran, and the outcome that the client reported.
 #[derive(Default, Debug)]
 pub(super) struct CallRecord {
     pub(super) runs: usize,
@@ -19,7 +19,7 @@
 }
 
 impl CallRecord {
-    /// How the call violates an invariant at the schedule's end, if it does.
+    /// Returns the violation of an invariant by this call at the end of the schedule, if there is one.
     pub(super) fn violation(&self, call: u64) -> Option<Violation> {
         let has_recovered = self.made_at > START + FAULTS + RECOVERY;
         let had_time = self.deadline - self.made_at > SUFFICIENT_TIME;
--- a/crates/linenthread-simulation/src/link/ends.rs
+++ b/crates/linenthread-simulation/src/link/ends.rs
@@ -1,20 +1,20 @@
-//! The two ends of the link, with their settings.
+//! The configuration of the two ends of the link.
 
 use linenthread_link::{ClientConfig, LinkClient, LinkServer, Secrets, ServerConfig};
 
 use super::MILLISECOND;
 
-/// The client's limit of calls that have not completed.
+/// The client's limit on calls in flight.
 pub(super) const MAX_IN_FLIGHT: usize = 64;
-/// The client's limit of bytes that wait to be sent.
+/// The client's limit on queued bytes.
 pub(super) const MAX_QUEUED_BYTES: u64 = 1_000;
-/// The server's limit of calls a session.
+/// The server's limit on calls per session.
 pub(super) const WINDOW_CALLS: u64 = 16;
-/// The server's limit of sessions.
+/// The server's limit on sessions.
 pub(super) const MAX_SESSIONS: usize = 4;
 
 fn secrets() -> Secrets {
-    Secrets::new(vec![b"a secret of the drill".to_vec()]).expect("long enough")
+    Secrets::new(vec![b"a secret of the drill".to_vec()]).expect("the secret is long enough")
 }
 
 pub(super) fn new_server(seed: u64) -> LinkServer {
--- a/crates/linenthread-simulation/src/link/event.rs
+++ b/crates/linenthread-simulation/src/link/event.rs
@@ -1,19 +1,19 @@
-//! What happens at a moment of simulated time.
+//! The events in simulated time.
 
 use linenthread_link::frame::CallOutcome;
 use linenthread_link::{CallId, ConnectionId, Frame, SessionId};
 
-/// What happens at a moment.
+/// An event in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Event {
     ClientTimeout,
     ServerTimeout,
-    /// A connection that was asked for is open, or cannot be opened.
+    /// A requested connection is open, or could not be opened.
     Connected {
         connection: ConnectionId,
         open: bool,
     },
-    /// The client has written the last byte of a frame; it arrives after that.
+    /// The client has written the last byte of a frame, which arrives later.
     Written {
         connection: ConnectionId,
         frame: Frame,
@@ -26,19 +26,19 @@
         connection: ConnectionId,
         frame: Frame,
     },
-    /// The client is notified that the connection is gone.
+    /// The client is notified that the connection is lost.
     ClientDisconnected(ConnectionId),
-    /// The server is notified that the connection is gone.
+    /// The server is notified that the connection is lost.
     ServerDisconnected(ConnectionId),
-    /// A call that the server has started has ended.
+    /// The server has completed a call.
     CallRan {
         incarnation: u64,
         session: SessionId,
         outcome: CallOutcome,
     },
-    /// The client's user makes a call.
+    /// The user of the client makes a call.
     MakeCall,
-    /// The client's user gives a call up.
+    /// The deadline of a call expires.
     Deadline(CallId),
     Fault,
 }
--- a/crates/linenthread-simulation/src/link/execution.rs
+++ b/crates/linenthread-simulation/src/link/execution.rs
@@ -1,4 +1,4 @@
-//! Performs what the two ends request.
+//! Performs the actions that the two ends request.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_link::{ClientAction, ServerAction};
@@ -8,7 +8,7 @@
 use super::world::World;
 
 impl World {
-    /// Performs what the client requests, and sets its timer.
+    /// Performs the client's actions and sets its timer.
     pub(super) fn perform_client(&mut self, actions: Vec<ClientAction>) {
         for action in actions {
             match action {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Performs what the server requests, and sets its timer.
+    /// Performs the server's actions and sets its timer.
     pub(super) fn perform_server(&mut self, actions: Vec<ServerAction>) {
         for action in actions {
             match action {
--- a/crates/linenthread-simulation/src/link/fault.rs
+++ b/crates/linenthread-simulation/src/link/fault.rs
@@ -2,26 +2,26 @@
 
 use linenthread_core::interface::TenthMillis;
 
-/// Kinds of faults, as they are drawn.
+/// A fault that is injected.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Fault {
     /// The connection is cut, and both ends are notified.
     Disconnect,
-    /// Frames are lost without notice, in the directions given.
+    /// Frames in the given directions are lost without either end being notified.
     SilentLoss {
         to_server: bool,
         to_client: bool,
     },
-    /// The server restarts and remembers nothing.
+    /// The server restarts and has lost its state.
     Restart,
     None,
 }
 
-/// The number of draws that [`Fault::drawn`] distinguishes.
+/// The number of values that [`Fault::from_draw`] distinguishes.
 pub(super) const FAULT_KINDS: TenthMillis = 7;
 
 impl Fault {
-    /// The fault of a drawn number, below [`FAULT_KINDS`].
+    /// Returns the fault for a drawn number below [`FAULT_KINDS`].
     pub(super) fn drawn(number: TenthMillis) -> Fault {
         match number {
             0 | 1 => Fault::Disconnect,
--- a/crates/linenthread-simulation/src/link/faults.rs
+++ b/crates/linenthread-simulation/src/link/faults.rs
@@ -9,7 +9,8 @@
 use super::{FAULTS, MILLISECOND, START};
 
 impl World {
-    /// Injects a random fault and schedules the next one, until faults end.
+    /// Injects a random fault and schedules the next one. After [`FAULT_DURATION`], stops slow and duplicate frames
+    /// instead.
     pub(super) fn inject_fault(&mut self) {
         if self.now > START + FAULTS {
             (self.slow_probability, self.duplicate_probability) = (0.0, 0.0);
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The server restarts: it remembers nothing, and all connections are lost.
+    /// Restarts the server. Its state and all connections are lost.
     fn restart_server(&mut self) {
         self.server_seed = self.server_seed.wrapping_add(1);
         self.server = new_server(self.server_seed);
--- a/crates/linenthread-simulation/src/link/invariant.rs
+++ b/crates/linenthread-simulation/src/link/invariant.rs
@@ -1,4 +1,4 @@
-//! The invariants that hold in every schedule. `docs/gateway-design.md` says what upholds most of them.
+//! The invariants that hold in every schedule. `docs/gateway-design.md` explains how most of them are ensured.
 
 use std::fmt;
 
@@ -7,15 +7,15 @@
 pub(super) enum Invariant {
     /// A call has exactly one outcome.
     OneOutcome,
-    /// A call that is reported as never run did not run.
+    /// A call whose outcome says that it never ran did not run.
     UnsentIsProven,
     /// No call runs twice.
     AtMostOnce,
-    /// A call that succeeded ran once, and has the value of its own run.
+    /// A call that succeeded ran exactly once and returned the value of that run.
     SuccessRanOnce,
-    /// What both ends retain stays within their limits, and is given back.
+    /// The calls and bytes that both ends retain stay within their limits, and are released when calls complete.
     Bounded,
-    /// Once the last fault is over for a while, calls that have enough time succeed.
+    /// Some time after the last fault, calls with enough time are not lost, unsent or timed out.
     Recovers,
 }
 
@@ -32,5 +32,5 @@
     }
 }
 
-/// How an invariant was violated.
+/// A violation of an [`Invariant`].
 pub(super) type Violation = crate::violation::Violation<Invariant>;
--- a/crates/linenthread-simulation/src/link/invariants.rs
+++ b/crates/linenthread-simulation/src/link/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after each event, and at a schedule's end.
+//! The checks after each event and at the end of a schedule.
 
 use super::ends::{MAX_IN_FLIGHT, MAX_QUEUED_BYTES, MAX_SESSIONS, WINDOW_CALLS};
 use super::invariant::Invariant;
@@ -6,7 +6,7 @@
 use super::world::World;
 
 impl World {
-    /// Checks after each event what both ends retain.
+    /// Checks the limits on what both ends retain; called after each event.
     pub(super) fn check_limits(&mut self) {
         let max_retained = usize::try_from(WINDOW_CALLS).unwrap_or(usize::MAX) * MAX_SESSIONS;
         if self.client.in_flight() > MAX_IN_FLIGHT
@@ -17,7 +17,7 @@
         }
     }
 
-    /// Checks and counts all calls at the schedule's end.
+    /// Checks and counts all calls at the end of a schedule.
     pub(super) fn check_end(&mut self, statistics: &mut Statistics) {
         if self.client.in_flight() == 0 && self.client.queued_bytes() > 0 {
             self.violated(
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -1,25 +1,25 @@
-//! A link between sites in simulated time: both ends of `linenthread-link` in one deterministic run, checked against a
-//! record of what truly ran.
+//! Checks a link between sites in simulated time: both ends of `linenthread-link` in one deterministic run, compared with
+//! a record of the calls that really ran.
 //!
 //! A client makes a call every few milliseconds, each with a deadline. Faults ([`fault`]): the connection is cut and
-//! both ends are notified; frames are lost silently, in one direction or both; the server restarts and remembers
-//! nothing. Besides, connections fail to open, and frames are late or arrive twice. The first 3 s of a schedule have
-//! faults, the last 3 s must work as usual.
+//! both ends are notified; frames are lost silently, in one direction or both; the server restarts without its state. In
+//! addition, connections fail to open, and frames are late or arrive twice. Faults are injected in the first 3 s of a
+//! schedule; in its last 3 s the link must work normally.
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
 //! | one-outcome | a call has exactly one outcome |
-//! | unsent-is-proven | a call that is reported as never run did not run |
+//! | unsent-is-proven | a call whose outcome says that it never ran did not run |
 //! | at-most-once | no call runs twice |
-//! | success-ran-once | a call that succeeded ran once, and has the value of its own run |
-//! | bounded | what both ends retain stays within their limits, and is given back |
-//! | recovers | after the faults, calls with enough time are not lost, unsent or timed out |
+//! | success-ran-once | a call that succeeded ran exactly once and returned the value of that run |
+//! | bounded | the calls and bytes that both ends retain stay within their limits, and are released |
+//! | recovers | some time after the last fault, calls with enough time are not lost, unsent or timed out |
 //!
-//! A schedule ends with its first violation. It is printed with the command that runs the schedule again:
+//! A schedule ends with its first violation, which is printed with the command that repeats the schedule:
 //! `linenthread-simulation link --schedules 1 --seed N`.
 //!
-//! Start reading at [`simulation`]; `execution` performs what the two ends request, on the connections of
-//! `transport`.
+//! Start reading at [`simulation`]; `execution` performs the actions that the two ends request, and `transport` carries
+//! their frames.
 
 mod call_record;
 mod ends;
@@ -43,34 +43,34 @@
 use statistics::Statistics;
 use world::World;
 
-/// A millisecond in the simulation's unit of time.
+/// One millisecond of simulated time.
 const MILLISECOND: TenthMillis = 10;
-/// When a schedule starts; not at 0, so that times before it can be computed.
+/// The simulated time at which a schedule starts; not 0, so that earlier times can be represented.
 const START: TenthMillis = 1_000 * MILLISECOND;
-/// How long faults are injected.
+/// How long faults are injected, from the start of a schedule.
 const FAULTS: TenthMillis = 3_000 * MILLISECOND;
-/// So long after the last fault the link must work as usual.
+/// The time after the last fault within which the link must recover.
 const RECOVERY: TenthMillis = 4_000 * MILLISECOND;
-/// How long a schedule lasts.
+/// The duration of a schedule.
 const LENGTH: TenthMillis = FAULTS + RECOVERY + 3_000 * MILLISECOND;
-/// No call is made in the schedule's last second, so that all can complete.
+/// How long calls are made. None is made in the last second of a schedule, so that all can complete.
 const LAST_CALL: TenthMillis = LENGTH - 1_000 * MILLISECOND;
-/// The most violations that are printed.
+/// The maximum number of violations printed.
 const MAX_PRINTED: usize = 10;
 
 /// Options of the command.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// How many schedules are run, each from a seed of its own.
+    /// The number of schedules, each with its own seed.
     pub schedules: usize,
-    /// The first schedule's seed.
+    /// The seed of the first schedule; each further schedule uses the next seed.
     pub seed: u64,
-    /// Sessions don't outlive their connection.
+    /// Whether sessions end with their connection instead of being resumed.
     pub no_resume: bool,
 }
 
 impl Options {
-    /// Runs all schedules. A schedule ends with its first violation.
+    /// Runs all schedules and prints their violations and a summary.
     pub(crate) fn run(&self) -> RunSummary {
         let mut statistics = Statistics::default();
         let mut violations = 0;
--- a/crates/linenthread-simulation/src/link/network.rs
+++ b/crates/linenthread-simulation/src/link/network.rs
@@ -5,20 +5,20 @@
 use linenthread_core::interface::TenthMillis;
 use linenthread_link::ConnectionId;
 
-/// One way of a connection.
+/// A direction of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Direction {
     ToServer,
     ToClient,
 }
 
-/// A connection, as the network has it.
+/// A connection between the two ends.
 pub(super) struct Connection {
-    /// Frames still get through to the server.
+    /// Whether frames get through to the server.
     pub(super) to_server: bool,
-    /// Frames still get through to the client.
+    /// Whether frames get through to the client.
     pub(super) to_client: bool,
-    /// Since when frames are lost without either end being notified.
+    /// When frames started to be lost without either end being notified.
     pub(super) silent_since: Option<TenthMillis>,
     last_arrival_at_server: TenthMillis,
     last_arrival_at_client: TenthMillis,
@@ -35,7 +35,8 @@
         }
     }
 
-    /// When the last frame of a direction arrives: frames keep their order.
+    /// Returns the arrival time of the last frame in a direction. Later frames arrive after it, since frames keep their
+    /// order.
     pub(super) fn last_arrival(&mut self, direction: Direction) -> &mut TenthMillis {
         match direction {
             Direction::ToServer => &mut self.last_arrival_at_server,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// No frame gets through any more.
+    /// Cuts the connection: no frame gets through any more.
     pub(super) fn disconnect(&mut self) {
         (self.to_server, self.to_client) = (false, false);
     }
@@ -53,27 +54,27 @@
 #[derive(Default)]
 pub(super) struct Connections {
     pub(super) all: BTreeMap<ConnectionId, Connection>,
-    /// The one that the client uses.
+    /// The connection that the client uses, or that is being opened for it.
     pub(super) current: Option<ConnectionId>,
 }
 
 impl Connections {
-    /// Whether frames of a connection get through to the server.
+    /// Reports whether frames of a connection get through to the server.
     pub(super) fn reaches_server(&self, id: ConnectionId) -> bool {
         self.all.get(&id).is_some_and(|c| c.to_server)
     }
 
-    /// Whether frames of a connection get through to the client.
+    /// Reports whether frames of a connection get through to the client.
     pub(super) fn reaches_client(&self, id: ConnectionId) -> bool {
         self.all.get(&id).is_some_and(|c| c.to_client)
     }
 
-    /// Whether this is the connection that the client uses.
+    /// Reports whether this is the connection that the client uses.
     pub(super) fn is_current(&self, id: ConnectionId) -> bool {
         self.current == Some(id)
     }
 
-    /// The client's connection, if it is open.
+    /// Returns the client's connection, if it is open.
     pub(super) fn current_mut(&mut self) -> Option<(ConnectionId, &mut Connection)> {
         let id = self.current?;
         Some((id, self.all.get_mut(&id)?))
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -1,4 +1,4 @@
-//! One schedule from its start to its end, event by event.
+//! A schedule from start to end, event by event.
 
 use linenthread_link::Frame;
 
@@ -10,7 +10,7 @@
 use super::{LAST_CALL, LENGTH, MILLISECOND, START};
 
 impl World {
-    /// Runs the schedule to its end, or to its first violation, which is returned.
+    /// Runs the schedule to its end or its first violation, which is returned.
     pub(super) fn run(mut self, statistics: &mut Statistics) -> Option<Violation> {
         self.schedule(0, Event::ClientTimeout);
         self.schedule(0, Event::ServerTimeout);
@@ -28,7 +28,7 @@
         self.violation
     }
 
-    /// Handles an event, performs what the ends request then, and checks the limits.
+    /// Handles an event, performs the resulting actions of the two ends, and checks the limits.
     fn handle(&mut self, event: Event) {
         let now = self.now;
         let (mut client_actions, mut server_actions) = (Vec::new(), Vec::new());
@@ -45,7 +45,7 @@
                     self.client.on_disconnected(now, &mut client_actions);
                 }
             }
-            // What is not written when the client has lost its connection never is.
+            // Frames that have not been written when the client loses its connection are never written.
             Event::Written { connection, frame } if self.connections.is_current(connection) => {
                 if let Frame::Call(request) = &frame {
                     self.client.on_call_written(request.number);
@@ -68,7 +68,7 @@
                 self.connections.current = None;
                 self.client.on_disconnected(now, &mut client_actions);
             }
-            // Frames that were on their way before the end arrive before it.
+            // Frames that were sent before the connection was closed arrive before the server is notified.
             Event::ServerDisconnected(connection) => self.server.on_disconnected(now, connection),
             Event::CallRan {
                 incarnation,
--- a/crates/linenthread-simulation/src/link/statistics.rs
+++ b/crates/linenthread-simulation/src/link/statistics.rs
@@ -1,4 +1,4 @@
-//! What became of the calls, over all schedules.
+//! The outcomes of calls over all schedules, and the printed summary.
 
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
@@ -13,14 +13,14 @@
     never_ran: usize,
     may_have_run: usize,
     timed_out: usize,
-    /// Connections closed as idle although frames got through.
+    /// The number of connections closed as idle although frames got through.
     pub(super) false_alarms: usize,
-    /// How long it took until a connection that had lost frames was closed.
+    /// The times from the first silent loss on a connection until the client closed it.
     pub(super) detection_times: Vec<TenthMillis>,
 }
 
 impl Statistics {
-    /// Counts a call that ended in this way, or has not ended.
+    /// Counts a call by its outcome; `None` if it has not ended.
     pub(super) fn count(&mut self, outcome: Option<AttemptOutcome>) {
         self.calls += 1;
         match outcome {
@@ -52,7 +52,7 @@
         );
     }
 
-    /// A quantile of the sorted detection times, in milliseconds; 0 if there are none.
+    /// Returns a quantile of the sorted detection times, in milliseconds; 0 if there are none.
     fn detection_quantile(&self, quantile: f64) -> TenthMillis {
         let rank = number::position(self.detection_times.len(), quantile);
         self.detection_times
--- a/crates/linenthread-simulation/src/link/traffic.rs
+++ b/crates/linenthread-simulation/src/link/traffic.rs
@@ -1,4 +1,4 @@
-//! Calls of the client's user, and their runs at the server.
+//! The calls that the user of the client makes, and their execution by the server.
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_link::frame::CallOutcome;
@@ -12,7 +12,7 @@
 use crate::number;
 
 impl World {
-    /// The client's user makes a call, and schedules its next one.
+    /// Makes a call as the user of the client, and schedules the next one.
     pub(super) fn make_call(&mut self, actions: &mut Vec<ClientAction>) {
         let number = number::count(self.records.len());
         let deadline = self.now + 100 * MILLISECOND + self.draw_below(900 * MILLISECOND);
@@ -41,7 +41,7 @@
         self.schedule(after, Event::MakeCall);
     }
 
-    /// A call's deadline is over: its user gives it up, unless it has ended.
+    /// Withdraws a call whose deadline has expired, unless it has ended.
     pub(super) fn give_up(&mut self, id: CallId, actions: &mut Vec<ClientAction>) {
         let number = self.calls.get(&id).copied().unwrap_or_default();
         let record = self.records.get_mut(&number);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The server runs a call.
+    /// Runs a call at the server, with a random outcome and duration. Checks *at-most-once*.
     pub(super) fn run_call(&mut self, session: SessionId, number: CallNumber, call: &Call) {
         let id: u64 = call.text.parse().unwrap_or_default();
         let outcome = match self.draw_below(12) {
@@ -81,7 +81,7 @@
         self.schedule(after, event);
     }
 
-    /// The client reports the outcome of a call.
+    /// Records the outcome of a call that the client reports. Checks *one-outcome* and *success-ran-once*.
     pub(super) fn on_completed(&mut self, id: CallId, outcome: AttemptOutcome, value: &str) {
         let Some(number) = self.calls.get(&id).copied() else {
             return;
--- a/crates/linenthread-simulation/src/link/transport.rs
+++ b/crates/linenthread-simulation/src/link/transport.rs
@@ -1,4 +1,4 @@
-//! Connections between the two ends, and the frames on them.
+//! Opens and closes connections between the two ends, and carries their frames.
 
 use linenthread_link::{ClientCloseReason, ConnectionId, Frame, ServerAction};
 
@@ -7,9 +7,9 @@
 use super::world::World;
 
 impl World {
-    /// The client asks for a connection, which may not be made.
+    /// Requests a connection for the client. One in ten fails to open.
     pub(super) fn connect(&mut self) {
-        // The number of the event by which it opens: no other connection has it.
+        // The sequence number of the event that opens it, which makes the id unique.
         let connection = ConnectionId(self.events.last_number() + 1);
         let after = 1 + self.draw_latency();
         let open = self.rng.rand_range(0..10) > 0;
@@ -17,7 +17,7 @@
         self.connections.current = Some(connection);
     }
 
-    /// A connection is open at both ends.
+    /// Opens a connection and notifies both ends.
     pub(super) fn open(&mut self, connection: ConnectionId, actions: &mut Vec<ServerAction>) {
         self.connections
             .all
@@ -26,7 +26,7 @@
         self.server.on_accepted(self.now, connection, actions);
     }
 
-    /// The client closes its connection; the server is notified later.
+    /// Closes the client's connection; the server is notified later.
     pub(super) fn close(&mut self, reason: &ClientCloseReason) {
         let Some(id) = self.connections.current.take() else {
             return;
@@ -41,7 +41,7 @@
         self.schedule(after, Event::ServerDisconnected(id));
     }
 
-    /// A frame is written a moment after it is handed out; the connection may be lost between the two.
+    /// Schedules the writing of a frame. The connection may be lost before the frame is written.
     pub(super) fn write(&mut self, frame: Frame) {
         let Some(id) = self.connections.current else {
             return;
@@ -62,7 +62,7 @@
         self.schedule(written_in_order - self.now, event);
     }
 
-    /// Sends a frame, once or twice, behind all that were sent before in the same direction.
+    /// Sends a frame, which arrives after all earlier frames in the same direction, and sometimes twice.
     pub(super) fn transmit(&mut self, id: ConnectionId, direction: Direction, frame: &Frame) {
         let latency = self.draw_latency();
         let Some(connection) = self.connections.all.get_mut(&id) else {
--- a/crates/linenthread-simulation/src/link/world.rs
+++ b/crates/linenthread-simulation/src/link/world.rs
@@ -1,4 +1,4 @@
-//! All state of a schedule: the two ends, the network between them, and the record of what ran.
+//! The state of a schedule: the two ends, the network between them, and the records of calls.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 use crate::event_queue::EventQueue;
 use crate::random;
 
-/// One schedule.
+/// The state of a schedule.
 pub(super) struct World {
     pub(super) now: TenthMillis,
     pub(super) rng: Rand64,
@@ -23,14 +23,14 @@
     pub(super) client: LinkClient,
     pub(super) server: LinkServer,
     pub(super) server_seed: u64,
-    /// Starts of the server: calls that an earlier incarnation has started don't end.
+    /// The number of restarts of the server. Calls started by an earlier incarnation don't complete.
     pub(super) server_incarnation: u64,
     pub(super) connections: Connections,
     pub(super) records: BTreeMap<u64, CallRecord>,
     pub(super) calls: BTreeMap<CallId, u64>,
-    /// The usual time of a frame one way.
+    /// The minimum one-way latency of a frame.
     latency: TenthMillis,
-    /// The probability that a frame takes much longer.
+    /// The probability that a frame is much slower.
     pub(super) slow_probability: f64,
     /// The probability that a frame arrives twice.
     pub(super) duplicate_probability: f64,
@@ -40,7 +40,7 @@
 }
 
 impl World {
-    /// A link on which nothing has happened yet.
+    /// Creates the state before the first event.
     pub(super) fn new(seed: u64, resume: bool) -> World {
         let mut rng = Rand64::new(u128::from(seed));
         let client_seed = rng.rand_u64();
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Schedules an event.
+    /// Schedules an event `after` the current time.
     pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
         self.events.push(self.now + after, event);
     }
 
-    /// A random time below the bound.
+    /// Draws a time below the bound.
     pub(super) fn draw_below(&mut self, bound: TenthMillis) -> TenthMillis {
         random::time_below(&mut self.rng, bound)
     }
@@ -84,7 +84,7 @@
             .get_or_insert_with(|| Violation::new(invariant, details));
     }
 
-    /// How long a frame is on its way; now and then much longer than usual.
+    /// Draws the one-way latency of a frame, which is much longer with the probability `slow_probability`.
     pub(super) fn draw_latency(&mut self) -> TenthMillis {
         let usual = self.latency + self.draw_below(self.latency / 2 + 1);
         if self.rng.rand_float() < self.slow_probability {
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -1,5 +1,5 @@
-//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Outages are checked, too:
-//! violations are those of the checker of `linenthread-fakes`.
+//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Queries during outages are
+//! verified by the checker of `linenthread-fakes`, which reports the violations.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,14 +16,14 @@
 use crate::number;
 use crate::run_summary::RunSummary;
 
-/// Queries made one after another, directly and across the link each.
+/// The number of queries made directly, and of those made across the link, in alternation.
 const ALTERNATING_QUERIES: usize = 1_000;
-/// How long queries are made as fast as they are answered.
+/// How long a throughput measurement lasts.
 const THROUGHPUT_RUN: Duration = Duration::from_secs(3);
-/// The time between two non-idempotent queries around an outage.
+/// The interval between the non-idempotent queries made before, during and after a fault.
 const QUERY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The default settings, but for a session time-out longer than any cut, and slow replicas.
+/// The default settings, except for slow replicas and a session timeout longer than any outage.
 const SLOW_REPLICAS: SitesConfig = SitesConfig {
     session_timeout: Duration::from_secs(15),
     down_delay: Duration::from_millis(250),
@@ -31,19 +31,19 @@
     second_gateway: false,
 };
 
-/// A quantile of the times, which are sorted for that.
+/// Sorts the times and returns a quantile.
 fn quantile(times: &mut [f64], share: f64) -> f64 {
     times.sort_by(f64::total_cmp);
     times[number::position(times.len() - 1, share)]
 }
 
-/// Makes a query; the status of its answer, if one arrives.
+/// Makes a query and returns the status of the response, if one arrives.
 fn query(client: &mut Client, index: &str, id: &str) -> Option<u16> {
     client.query(index, id, &[1]);
     client.response().map(|response| response.status)
 }
 
-/// Measures the latency of queries made in turn at the gateway's own ingress and across the link.
+/// Measures the latency of queries made alternately at the gateway's own ingress and across the link.
 fn measure_latency(sites: &Sites) {
     let mut times = [Vec::new(), Vec::new()];
     let mut clients = [&sites.gateway, &sites.local].map(linenthread_fakes::Service::connect);
@@ -65,7 +65,7 @@
     );
 }
 
-/// The CPU time of a process in seconds.
+/// Returns the CPU time of a process in seconds.
 fn cpu_seconds(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
@@ -83,7 +83,7 @@
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// Measures queries a second with so many in flight, and the CPU time of each.
+/// Measures queries per second with `in_flight` concurrent clients, and the CPU time per query of each process.
 fn measure_throughput(address: SocketAddr, in_flight: usize, processes: &[u32], what: &str) {
     let (done, over) = (AtomicUsize::new(0), AtomicBool::new(false));
     let before: Vec<f64> = processes.iter().map(|id| cpu_seconds(*id)).collect();
@@ -128,7 +128,8 @@
     );
 }
 
-/// How long after the link was restored the first query was made that succeeded, in milliseconds; -1 for none.
+/// Returns how long after the link was restored the first successful query was scheduled, in milliseconds; -1 if none
+/// succeeded.
 fn recovery_ms(results: &[QueryResult], restored: Duration) -> i64 {
     let answered = results
         .iter()
@@ -139,7 +140,7 @@
         .unwrap_or(-1)
 }
 
-/// Prints the verdict on one run.
+/// Prints the verdict on a run and at most five of its violations.
 fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
     let Verdict {
         checked,
@@ -162,7 +163,7 @@
     }
 }
 
-/// Makes non-idempotent queries steadily while the link is down for so long.
+/// Makes non-idempotent queries at a steady rate while the link is down for `length`.
 fn measure_outage(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
     let before = Duration::from_millis(500);
     let load = SteadyLoad {
@@ -222,8 +223,8 @@
     )
 }
 
-/// Slows first one and then the other of two links: the share of queries that take no longer than on the link
-/// that is not slow, where the optimum is all of them.
+/// Delays first one and then the other of two links, and prints the share of queries that take no longer than on a link
+/// without delay. The optimum is 100%.
 fn measure_link_choice(exe: &str) -> RunSummary {
     let mut sites = Sites::start(
         exe,
@@ -276,7 +277,7 @@
     }
 }
 
-/// The resident memory of a process in megabytes.
+/// Returns the resident memory of a process in megabytes.
 fn resident_megabytes(id: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -285,7 +286,7 @@
         / 1024.0
 }
 
-/// Makes long queries across a link that accepts no more bytes.
+/// Measures the client's memory while long queries are made across a link that accepts no more bytes.
 fn measure_stalled_link(exe: &str) {
     let sites = Sites::start(
         exe,
@@ -320,7 +321,7 @@
         }
         for _ in 0..30 {
             sleep(Duration::from_millis(100));
-            let mut max = max.lock().expect("not poisoned");
+            let mut max = max.lock().expect("the lock is not poisoned");
             *max = max.max(resident_megabytes(client));
         }
         over.store(true, Ordering::Relaxed);
@@ -331,7 +332,7 @@
     );
 }
 
-/// Runs all benchmarks of the program.
+/// Runs all benchmarks with the given program.
 pub(crate) fn run(exe: &str) -> RunSummary {
     let sites = Sites::start(
         exe,
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -1,38 +1,38 @@
-//! `linenthread-simulation`: long checks and measurements of each subsystem. A command takes a seed and a count, prints
-//! each violation with what is needed to run it again, ends with `N checked, B violations`, and exits with 1 where B
-//! is not 0.
+//! `linenthread-simulation`: long-running checks and measurements of each subsystem. A command takes a seed and a count,
+//! prints each violation with what is needed to repeat it, ends with the line `N checked, B violations`, and exits with
+//! 1 if B is not 0.
 //!
-//! Start reading at [`commands`], which has a module for each command. What they run:
+//! Start reading at [`commands`], which has a module for each command:
 //!
-//! | command | module | |
+//! | command | module | what it runs |
 //! | --- | --- | --- |
 //! | `system` | [`system`] | control nodes, ingress nodes and operators |
 //! | `fleet` | [`fleet`] | membership and the replicated state of co-ordinators |
-//! | `zones` | [`zones`] | which zone serves whose requests |
+//! | `zones` | [`zones`] | failover between zones by routing tables |
 //! | `link` | [`link`] | both ends of a link between sites |
 //! | `merged` | [`merged`] | merged responses through the decision module |
-//! | `dataplane` | [`dataplane`] | the data plane, of `linenthread-dataplane-sim` |
-//! | `failover` | [`failover`] | compares policies of failover between zones |
-//! | `members` | [`members`] | measures what membership costs |
-//! | `merging-speed`, `link-speed` | [`merging_speed`], [`link_speed`] | measure merging, and a link on loopback |
+//! | `dataplane` | [`dataplane`] | the data plane, with the simulation of `linenthread-dataplane-sim` |
+//! | `failover` | [`failover`] | a comparison of policies for failover between zones |
+//! | `members` | [`members`] | a benchmark of fleet membership |
+//! | `merging-speed`, `link-speed` | [`merging_speed`], [`link_speed`] | benchmarks of merging and of a link on loopback |
 //! | `link-bytes`, `processes` | [`commands`] | scenarios of `linenthread-fakes` with real processes |
 //!
-//! `system`, `fleet`, `zones`, `link`, `merged` and `failover` run in simulated time: everything random comes from the
-//! seed, so the same command prints the same numbers. Each says in its module's documentation what its faults are,
-//! which invariants it checks under which name, and how one schedule is run again. They are laid out alike:
+//! `system`, `fleet`, `zones`, `link`, `merged` and `failover` run in simulated time: everything random derives from the
+//! seed, so the same command prints the same numbers. The documentation of each module lists its faults, the invariants
+//! with their names, and how to repeat one schedule. These modules have the same layout:
 //!
-//! | file | |
+//! | file | contents |
 //! | --- | --- |
-//! | `mod.rs` | the options, and the run of all schedules |
-//! | `simulation.rs` | one schedule from its start to its end, event by event |
-//! | `faults.rs`, `fault.rs` | what is done to the system; the kinds of it |
-//! | `traffic.rs` | what clients do, and what becomes of it |
+//! | `mod.rs` | the options, and the loop over all schedules |
+//! | `simulation.rs` | one schedule from start to end, event by event |
+//! | `faults.rs`, `fault.rs` | fault injection; the kinds of faults |
+//! | `traffic.rs` | requests of clients and their outcomes |
 //! | `invariants.rs`, `invariant.rs` | the checks; the names of the invariants |
-//! | `statistics.rs` | what is counted and printed |
-//! | `world.rs` | all state |
-//! | `event.rs` | what can happen at a moment |
+//! | `statistics.rs` | counters and the printed summary |
+//! | `world.rs` | the state of a run |
+//! | `event.rs` | the events in simulated time |
 //!
-//! In `system` some of these are folders or have further files; its own table lists them.
+//! In `system` some of these are folders or are split into more files; its module documentation lists them.
 
 mod commands;
 mod dataplane;
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -1,6 +1,7 @@
-//! What membership costs: fleets of 10 and 100 members in simulated time that all join at once. Datagrams, bytes and
-//! processor time of each member, and how long it takes until all know all others and until one that falls silent is
-//! down for all. A violation is that one of these two times is over [`MAX_WAIT`].
+//! Benchmark of fleet membership: fleets of 10 and 100 members that all join at once, in simulated time.
+//!
+//! Measures datagrams, bytes and CPU time per member, how long it takes until all members know all others, and how long
+//! until all consider a member down that has stopped sending. It is a violation if either time exceeds [`MAX_WAIT`].
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -15,27 +16,26 @@
 use crate::number::{self, SECOND};
 use crate::run_summary::RunSummary;
 
-/// How much time passes in a step.
+/// The simulated time of a step.
 const STEP: TenthMillis = 250;
-/// One way of a datagram.
+/// The one-way latency of a datagram.
 const LATENCY: TenthMillis = 10;
 const PORT: u16 = 7_500;
-/// The numbers of members that are measured.
+/// The fleet sizes that are measured.
 const SIZES: [usize; 2] = [10, 100];
-/// Members that all others know from the start.
+/// The number of seed members, whose addresses all others know from the start.
 const SEEDS: usize = 3;
 const PROBE_INTERVAL: TenthMillis = 5_000;
-/// No size needs longer than this to agree on the members.
+/// The longest time in which a fleet of any size must agree on its members.
 const MAX_WAIT: TenthMillis = 120 * SECOND;
-/// After so long only the traffic that goes on for ever is left.
+/// The time after which the traffic of joining has ended and only the steady traffic is left.
 const SETTLING_TIME: TenthMillis = 20 * SECOND;
-/// How long the traffic is measured.
+/// How many seconds of simulated time the traffic is measured for.
 const MEASURED_SECONDS: TenthMillis = 10;
-/// How many steps pass between two checks.
+/// The number of steps between two checks.
 const STEPS_PER_CHECK: usize = 10;
-/// Microseconds in a second.
 const MICROSECONDS: f64 = 1e6;
-/// Seeds of different runs are this far apart.
+/// Distance between the seeds of different runs, so that their members get different seeds.
 const SEED_STRIDE: u64 = 10_007;
 
 fn name(member: usize) -> String {
@@ -43,7 +43,7 @@
 }
 
 fn address(member: usize) -> SocketAddr {
-    let member = u16::try_from(member).expect("fewer than 65,280 members");
+    let member = u16::try_from(member).expect("there are fewer than 65,280 members");
     let [high, low] = member.to_be_bytes();
     ([127, high + 1, low, 1], PORT).into()
 }
@@ -55,7 +55,7 @@
     }
 }
 
-/// The member of an address.
+/// Returns the member at an address, the inverse of [`address`].
 fn member_at(address: SocketAddr) -> Option<usize> {
     let SocketAddr::V4(address) = address else {
         return None;
@@ -64,16 +64,16 @@
     Some(usize::from(high.checked_sub(1)?) << 8 | usize::from(low))
 }
 
-/// A datagram on its way to a member.
+/// A datagram in flight to a member.
 struct Datagram {
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// One fleet.
+/// A fleet in simulated time.
 struct Simulation {
     now: TenthMillis,
-    /// None for one that has fallen silent.
+    /// `None` for a member that has been stopped.
     members: Vec<Option<Members>>,
     in_flight: EventQueue<Datagram>,
     datagrams: usize,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Puts the datagrams among these actions on their way.
+    /// Sends the datagrams among the actions.
     fn send(&mut self, actions: Vec<MembersAction>) {
         for action in actions {
             if let MembersAction::Send { to, bytes } = action
@@ -109,7 +109,7 @@
         }
     }
 
-    /// One step of time: datagrams arrive, timers expire.
+    /// Advances time by one step: delivers datagrams and runs the timers that have expired.
     fn step(&mut self) {
         self.now += STEP;
         self.deliver();
@@ -128,7 +128,7 @@
         while let Some((_, datagram)) = self.in_flight.pop_by(self.now) {
             let mut actions = Vec::new();
             if let Some(Some(member)) = self.members.get_mut(datagram.to) {
-                // A datagram that is refused changes nothing.
+                // A rejected datagram changes nothing.
                 let _ = member.on_datagram(self.now, &datagram.bytes, &mut actions);
             }
             self.send(actions);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// How long it takes until each member knows so many others; `None` if it takes too long.
+    /// Runs until each member knows `others` other members, and returns how long that took; `None` after [`MAX_WAIT`].
     fn run_until_known(&mut self, others: usize) -> Option<TenthMillis> {
         let started_at = self.now;
         while self.now < started_at + MAX_WAIT {
@@ -173,12 +173,13 @@
         seeds: (0..SEEDS).map(peer_address).collect(),
         expected_members: number::small(count),
         probe_interval: PROBE_INTERVAL,
-        secrets: Secrets::new(vec![b"a secret of some length".to_vec()]).expect("long enough"),
+        secrets: Secrets::new(vec![b"a secret of some length".to_vec()])
+            .expect("the secret is long enough"),
         random_seed,
     }
 }
 
-/// Measures all sizes and prints a table. A violation is that members did not agree in time.
+/// Measures all sizes and prints a table. It is a violation if members do not agree in time.
 pub(crate) fn run(seed: u64) -> RunSummary {
     println!(
         "members    all joined  datagrams/s  bytes/s  CPU us/s       one removed   (per member, except the times)"
@@ -190,7 +191,7 @@
     }
 }
 
-/// Measures one size; how often its members did not agree in time.
+/// Measures one size and returns how often its members did not agree in time.
 fn measure(count: usize, seed: u64) -> usize {
     let mut simulation = Simulation::new(count, seed);
     let all_known = simulation.run_until_known(count - 1);
--- a/crates/linenthread-simulation/src/merged/client.rs
+++ b/crates/linenthread-simulation/src/merged/client.rs
@@ -1,4 +1,4 @@
-//! A client that reads on, page by page.
+//! A client that reads an index page by page.
 
 use linenthread_core::interface::SubRequestIndex;
 use linenthread_fakes::checker::{PagedRead, ShardWeight};
@@ -10,27 +10,27 @@
 use crate::number;
 use crate::random;
 
-/// The most rows that a shard has at first.
+/// The maximum number of rows that a shard has initially.
 pub(super) const MAX_SHARD_ROWS: u64 = 14;
 
-/// A client that reads on, page by page.
+/// A client that reads an index page by page.
 pub(super) struct Client {
     /// The data of all shards.
     pub(super) rows: RowStore,
     /// The queried shards with their weights.
     pub(super) shards: Vec<ShardWeight>,
-    /// The index that it reads.
+    /// The position of its index in the plans.
     pub(super) plan: usize,
     pub(super) reading: PagedRead,
-    /// Rows added since the first page.
+    /// The rows added since the first page.
     pub(super) added: Vec<Donation>,
     pub(super) cursor: Option<String>,
-    /// The most rows that its replicas give at once.
+    /// The maximum number of rows in a response of its replicas.
     pub(super) max_rows: usize,
 }
 
 impl Client {
-    /// Chooses an index and shards at random, and now and then other data.
+    /// Starts a new paged read: draws an index and shards, and in one of 20 cases replaces the data.
     pub(super) fn begin_reading(&mut self, rng: &mut Rand64) {
         let mut shards: Vec<usize> = (0..SHARDS).filter(|_| random::index(rng, 3) > 0).collect();
         if shards.is_empty() {
@@ -49,7 +49,7 @@
             .zip(normalized)
             .map(|(shard, weight)| ShardWeight { shard, weight })
             .collect();
-        // Rows are read as often as the others together.
+        // Rows are read as often as totals and groups together.
         self.plan = [ROWS, ROWS, TOTALS, GROUPS][random::index(rng, 4)];
         self.reading = PagedRead::new(&self.shards);
         self.added.clear();
@@ -66,7 +66,7 @@
         self.added.push(row);
     }
 
-    /// A replica's response to a sub-request.
+    /// Returns a replica's response to a sub-request.
     pub(super) fn respond(
         &self,
         SubRequestIndex(sub_request): SubRequestIndex,
--- a/crates/linenthread-simulation/src/merged/decision.rs
+++ b/crates/linenthread-simulation/src/merged/decision.rs
@@ -1,11 +1,11 @@
-//! What the decision module decides in one step.
+//! The decisions that the decision module makes in one step.
 
 use linenthread_core::DecisionSink;
 use linenthread_core::interface::{
     Completeness, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis,
 };
 
-/// One attempt of a sub-request; its number counts from 0.
+/// An attempt of a sub-request. `number` counts the attempts of the sub-request from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Attempt {
     pub(super) query: QueryIndex,
@@ -13,7 +13,7 @@
     pub(super) number: usize,
 }
 
-/// A decision of the coordinator on one query.
+/// A decision of the coordinator on a query.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Decision {
     Send(Attempt),
@@ -26,15 +26,14 @@
     Release(QueryIndex),
 }
 
-/// An attempt that is sent to a replica.
+/// An attempt sent to a replica.
 pub(super) struct SentAttempt {
     pub(super) attempt: Attempt,
     pub(super) replica: ReplicaIndex,
     pub(super) timeout: TenthMillis,
 }
 
-/// Records what the coordinator decides in one step. Attempts have the number 0 here: it is not the module that
-/// numbers them.
+/// Records the decisions of one step. Sent attempts have the number 0 here, since the decision module doesn't number them.
 #[derive(Default)]
 pub(super) struct DecisionLog {
     pub(super) decisions: Vec<Decision>,
--- a/crates/linenthread-simulation/src/merged/event.rs
+++ b/crates/linenthread-simulation/src/merged/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a moment of simulated time.
+//! The events in simulated time.
 
 use linenthread_core::interface::ReplicaIndex;
 
@@ -8,16 +8,16 @@
 /// An event in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Event {
-    /// An attempt ends; a value is there where it succeeded.
+    /// An attempt ends with the outcome that was drawn for it.
     AttemptCompleted { attempt: Attempt, fate: AttemptFate },
-    /// A health check ends.
+    /// A health check completes.
     HealthChecked {
         replica: ReplicaIndex,
         is_alive: bool,
     },
     /// A client makes its next query.
     NextQuery { client: usize },
-    /// A replica dies, drains or comes back.
+    /// A random replica stops, drains, is replaced or returns.
     MembershipChange,
     /// A timer of the decision module expires.
     Wake,
--- a/crates/linenthread-simulation/src/merged/fault.rs
+++ b/crates/linenthread-simulation/src/merged/fault.rs
@@ -1,8 +1,8 @@
-//! What can go wrong with an attempt, and how often.
+//! The faults of attempts and replicas, and their probabilities.
 
 use linenthread_core::interface::AttemptOutcome;
 
-/// What becomes of an attempt.
+/// The outcome that the simulation draws for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptFate {
     Success,
@@ -17,7 +17,7 @@
 }
 
 impl AttemptFate {
-    /// The outcome that the decision module is notified of.
+    /// Returns the outcome that is reported to the decision module.
     pub(super) fn outcome(self) -> AttemptOutcome {
         match self {
             AttemptFate::Success | AttemptFate::DuplicateSuccess => AttemptOutcome::Success,
@@ -31,11 +31,11 @@
     }
 }
 
-/// How replicas behave: shares of their attempts.
+/// How replicas behave. `slow` and `faults` are the shares of attempts that are slow or fail.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaBehavior {
     pub(super) slow: f64,
     pub(super) faults: f64,
-    /// Replicas die, drain, restart and come back.
+    /// Whether replicas stop, drain, are replaced and return.
     pub(super) changes: bool,
 }
--- a/crates/linenthread-simulation/src/merged/faults.rs
+++ b/crates/linenthread-simulation/src/merged/faults.rs
@@ -1,4 +1,4 @@
-//! Draws what becomes of attempts, and changes replicas.
+//! Draws the outcomes of attempts, and the changes of replicas.
 
 use linenthread_core::interface::{MembershipUpdate, Phase, ReplicaIndex, TenthMillis};
 
@@ -10,14 +10,14 @@
 use crate::random;
 
 impl SimulatedReplicas {
-    /// A replica dies and is replaced, drains, or comes back.
+    /// Stops, drains, replaces or brings back a random replica, and schedules the next change.
     pub(super) fn change(&mut self) {
         let replica = random::index(&mut self.rng, REPLICA_GROUPS);
         let entry = &mut self.members[replica];
         match (entry.phase, self.rng.rand_range(0..3)) {
             (Phase::Ready, 0) => entry.phase = Phase::Draining,
             (Phase::Ready, 1) => {
-                // Another process in its place, which has to warm up.
+                // Another process replaces it and has to warm up.
                 entry.started_at = Some(self.now);
                 self.is_alive[replica] = true;
             }
@@ -33,7 +33,7 @@
         self.schedule(after, Event::MembershipChange);
     }
 
-    /// What becomes of an attempt at a replica, and how long after it was sent.
+    /// Draws the outcome of an attempt at a replica, and how long after it was sent the attempt ends.
     pub(super) fn fate(
         &mut self,
         ReplicaIndex(replica): ReplicaIndex,
--- a/crates/linenthread-simulation/src/merged/invariant.rs
+++ b/crates/linenthread-simulation/src/merged/invariant.rs
@@ -11,13 +11,13 @@
     ValidValuesCount,
     /// A second value of one sub-request changes nothing.
     DuplicatesDoNotCount,
-    /// A sub-request is sent only so often, and never after the response.
+    /// A sub-request is sent at most [`MAX_ATTEMPTS`](super::settings::MAX_ATTEMPTS) times, and never after the response.
     BoundedAttempts,
     /// A query gets exactly one outcome, before its hard deadline.
     OneResponseInTime,
-    /// Rows, totals, groups, shares and cursors of a response are right by the full data.
+    /// Rows, totals, groups, shares and cursors of a response agree with the full data.
     MatchesFullData,
-    /// What is partial for the decision module is not marked as complete.
+    /// A response that is partial for the decision module is not marked as complete.
     PartialIsMarked,
     /// No more rows are retained than a page has.
     BoundedRows,
@@ -38,5 +38,5 @@
     }
 }
 
-/// How an invariant was violated.
+/// A violation of an [`Invariant`].
 pub(super) type Violation = crate::violation::Violation<Invariant>;
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -1,4 +1,4 @@
-//! Checks what a client receives against the full data.
+//! Checks the responses that clients receive against the full data.
 
 use linenthread_core::interface::{Completeness, QueryIndex};
 use linenthread_fakes::checker::{self, CheckError};
@@ -12,7 +12,7 @@
 use super::world::{UNIX_SECONDS, World};
 
 impl World<'_> {
-    /// Checks a response against the full data; `completeness` is what the decision module says of it.
+    /// Checks the response to a query against the full data. `completeness` is the decision module's classification.
     pub(super) fn check_response(&mut self, query: QueryIndex, completeness: Completeness) {
         let Some(open) = self.open.get(&query) else {
             return;
@@ -37,7 +37,7 @@
 }
 
 impl OpenQuery<'_> {
-    /// Checks that a response is marked as partial where it is, and that memory is bounded.
+    /// Checks that a partial response is marked as partial, and that no more rows are retained than a page has.
     fn check_completeness(
         &self,
         response: &Value,
@@ -60,8 +60,8 @@
 }
 
 impl Client {
-    /// Checks a response, and takes the cursor of the next page from it; at the end of the rows, whether all of
-    /// them were shown.
+    /// Checks a response and stores its cursor for the next page. At the end of the rows, checks whether the pages
+    /// contained all of them.
     fn check(&mut self, response: &Value, floor: f64, page_size: usize) -> Result<(), CheckError> {
         let checked = self.check_body(response, floor, page_size);
         self.cursor = response["next"].as_str().map(str::to_owned);
@@ -74,7 +74,7 @@
         checked.and(ended)
     }
 
-    /// Checks what a response has, by the kind of its index.
+    /// Checks the contents of a response according to the kind of its index.
     fn check_body(
         &mut self,
         response: &Value,
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -1,26 +1,26 @@
-//! Merged queries in simulated time: clients that read pages, totals and groups through the decision module and
-//! `linenthread-merge` from replicas. Each response is checked against the full data.
+//! Checks merged queries in simulated time. Clients read pages, totals and groups from replicas through the decision
+//! module and `linenthread-merge`. Each response is checked against the full data.
 //!
-//! Faults ([`fault`], [`faults`]): attempts take longer than a query waits, fail in every way, respond with a value that
-//! is not valid, or respond twice with different values; replicas die, drain and come back. How often is drawn from the
-//! seed. Rows are added while clients read.
+//! Faults ([`fault`], [`faults`]): attempts take longer than a query waits, fail, are rejected, lose their connection,
+//! return an invalid value, or return two different values; replicas stop, drain and return. The probabilities are drawn
+//! from the seed. Rows are added while clients read.
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
 //! | queries-start | every query can be started, also with the cursor of an earlier response |
 //! | valid-values-count | a valid value of a replica is accepted |
 //! | duplicates-do-not-count | a second value of one sub-request changes nothing |
-//! | bounded-attempts | a sub-request is sent only so often, and never after the response |
+//! | bounded-attempts | a sub-request is sent at most 3 times, and never after the response |
 //! | one-response-in-time | a query gets exactly one outcome, before its hard deadline |
-//! | matches-full-data | rows, totals, groups, shares and cursors of a response are right by the full data |
-//! | partial-is-marked | what is partial for the decision module is not marked as complete |
+//! | matches-full-data | rows, totals, groups, shares and cursors of a response agree with the full data |
+//! | partial-is-marked | a response that is partial for the decision module is not marked as complete |
 //! | bounded-rows | no more rows are retained than a page has |
 //!
-//! There are no schedules: a violation is printed with the command that runs all queries again. The number of its query
-//! is the index that the decision module knows it by; indices are used again.
+//! There are no schedules: a violation is printed with the command that repeats the whole run. The number of the query is
+//! its index in the decision module; indices are reused.
 //!
-//! Start reading at [`simulation`]; `replicas` is the decision module with its replicas, `open_query` and `client` are
-//! what the queries need.
+//! Start reading at [`simulation`]; `replicas` contains the decision module with its replicas, `open_query` and `client`
+//! the state of queries.
 
 mod client;
 mod decision;
@@ -47,20 +47,20 @@
 /// Options of the command.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// How many queries are made.
+    /// The number of queries to make.
     pub queries: usize,
-    /// What all random numbers derive from.
+    /// The seed that all random numbers derive from.
     pub seed: u64,
-    /// The share of sub-requests that take longer than a query waits; random if not given.
+    /// The share of sub-requests that take longer than a query waits; drawn from the seed if not given.
     pub slow: Option<f64>,
-    /// The least share of a response's weight that may be given.
+    /// The minimum share of the weight that a response may cover.
     pub floor: f64,
-    /// No faults and no changes of replicas.
+    /// Whether to leave out faults and changes of replicas, so that sub-requests are only slow.
     pub only_delays: bool,
 }
 
 impl Options {
-    /// Makes all queries and prints what became of them.
+    /// Makes all queries and prints a summary of their outcomes.
     pub(crate) fn run(&self) -> RunSummary {
         let mut rng = Rand64::new(u128::from(self.seed));
         let behavior = ReplicaBehavior {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The arguments that repeat this run.
+    /// Returns the command-line arguments that repeat this run.
     fn arguments(&self) -> String {
         let Options {
             queries,
--- a/crates/linenthread-simulation/src/merged/open_query.rs
+++ b/crates/linenthread-simulation/src/merged/open_query.rs
@@ -1,4 +1,4 @@
-//! A query that has not been released.
+//! A query that the decision module has not released yet.
 
 use std::collections::BTreeMap;
 
@@ -8,41 +8,40 @@
 use super::decision::Attempt;
 use super::invariant::{Invariant, Violation};
 
-/// What a second response to a sub-request has as its value: it must not count.
+/// The value of a second response to a sub-request, which the merger must ignore.
 const DUPLICATE_VALUE: &str = "{\"rows\":[],\"more\":false}";
 
-/// A query that has not been released.
+/// A query that the decision module has not released yet.
 pub(super) struct OpenQuery<'p> {
     pub(super) merger: Merger<'p>,
     pub(super) client: usize,
     pub(super) page_size: usize,
     pub(super) hard_deadline: TenthMillis,
-    /// It was responded to, rejected or failed.
+    /// Whether it has been answered, rejected or failed.
     pub(super) is_completed: bool,
-    /// How many attempts were made of each sub-request.
+    /// The number of attempts of each sub-request.
     pub(super) attempts: BTreeMap<SubRequestIndex, usize>,
-    /// What each attempt has requested.
+    /// The request of each attempt.
     pub(super) requests: BTreeMap<Attempt, Request>,
 }
 
-/// What an attempt requests of a replica.
+/// The request that an attempt sends to a replica.
 #[derive(Clone, Default)]
 pub(super) struct Request {
-    /// How often the sub-request was continued before.
+    /// How often the sub-request had been continued before.
     pub(super) continuation: u32,
     pub(super) text: String,
 }
 
-/// How a value that a replica gave was taken.
+/// The result of passing a replica's value to the merger.
 pub(super) struct AcceptedValue {
-    /// The merger counts it, or had one already.
+    /// Whether the merger counted the value or already had one for the sub-request.
     pub(super) is_accepted: bool,
-    /// How an invariant was violated, if one was.
     pub(super) violation: Option<Violation>,
 }
 
 impl OpenQuery<'_> {
-    /// Gives the merger a value that is valid.
+    /// Passes a valid value to the merger.
     pub(super) fn accept_valid(
         &mut self,
         sub_request: SubRequestIndex,
@@ -64,7 +63,7 @@
         }
     }
 
-    /// Gives the merger a value that need not be valid; whether it is accepted.
+    /// Passes a value that may be invalid to the merger, and reports whether it is accepted.
     pub(super) fn accepts(
         &mut self,
         sub_request: SubRequestIndex,
@@ -77,7 +76,7 @@
         )
     }
 
-    /// Gives the merger another value of a sub-request that has one; the violation if it counts.
+    /// Passes a second value of a sub-request to the merger, and returns a violation if the value counts.
     pub(super) fn accept_duplicate(
         &mut self,
         sub_request: SubRequestIndex,
--- a/crates/linenthread-simulation/src/merged/plans.rs
+++ b/crates/linenthread-simulation/src/merged/plans.rs
@@ -1,24 +1,24 @@
-//! The three indexes of the simulation, one of each kind.
+//! The three indexes of the simulation, one for each kind of aggregation.
 
 use linenthread_core::interface::{Idempotency, IndexConfig, TenthMillis};
 use linenthread_merge::{
     Aggregation, FieldType, GroupOrder, GroupPlan, Measure, Plan, RowPlan, SortField, Statistic,
 };
 
-/// The position of the index of rows in [`all`].
+/// The position in [`all`] of the index that returns rows.
 pub(super) const ROWS: usize = 0;
-/// The position of the index of totals in [`all`].
+/// The position in [`all`] of the index that returns totals.
 pub(super) const TOTALS: usize = 1;
-/// The position of the index of groups in [`all`].
+/// The position in [`all`] of the index that returns groups.
 pub(super) const GROUPS: usize = 2;
-/// The most groups that are listed.
+/// The maximum number of groups in a response.
 pub(super) const MAX_GROUPS: usize = 3;
 /// The soft deadline of queries, in tenths of a millisecond.
 const SOFT_DEADLINE: TenthMillis = 4_000;
-/// Totals count as complete for the decision module from this share on; their response must not say so.
+/// The share from which the decision module treats totals as complete. The response must not say that it is complete.
 const TOTALS_COMPLETE_SHARE: f64 = 0.8;
 
-/// The plans, in the order of the settings' indexes.
+/// Returns the plans, in the order of [`index_configs`].
 pub(super) fn all() -> Vec<Plan> {
     let plan = |index: &str, aggregation| Plan {
         index: index.into(),
@@ -78,7 +78,7 @@
     }]
 }
 
-/// What the decision module knows of the indexes, in the order of the plans.
+/// Returns the decision module's configuration of the indexes, in the order of the plans.
 pub(super) fn index_configs(min_share: f64) -> Vec<IndexConfig> {
     let config = |complete_share| IndexConfig {
         idempotency: Idempotency::Idempotent,
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas in simulated time round one decision module: they respond, fail, hang and change.
+//! The replicas in simulated time, with the decision module that sends attempts to them.
 
 use std::collections::BTreeMap;
 
@@ -16,16 +16,16 @@
 use crate::event_queue::EventQueue;
 use crate::number;
 
-/// When a run starts; not at 0, so that times before it can be computed.
+/// The simulated time at which a run starts; not 0, so that earlier times can be represented.
 const START: TenthMillis = 36_000_000;
-/// When the first replica changes.
+/// The time from the start of a run to the first change of a replica.
 const FIRST_CHANGE: TenthMillis = 20_000;
-/// The first replica's id; any number does.
+/// The id of the first replica; the value is arbitrary.
 const FIRST_REPLICA_ID: u64 = 900;
-/// What a health check takes.
+/// How long a health check takes.
 const HEALTH_CHECK_TIME: TenthMillis = 5;
 
-/// The replicas, the coordinator that sends them attempts, and the events of their simulated time.
+/// The replicas, the coordinator that sends attempts to them, and the queue of events.
 pub(super) struct SimulatedReplicas {
     pub(super) now: TenthMillis,
     pub(super) inputs: Inputs,
@@ -33,13 +33,13 @@
     pub(super) behavior: ReplicaBehavior,
     coordinator: Coordinator,
     events: EventQueue<Event>,
-    /// Attempts that have not ended, and when each was sent.
+    /// The attempts in flight, and when each was sent.
     in_flight: BTreeMap<Attempt, TenthMillis>,
-    /// How many attempts were made of each sub-request.
+    /// The number of attempts of each sub-request.
     attempt_counts: BTreeMap<(QueryIndex, SubRequestIndex), usize>,
-    /// Replicas as service discovery reports them.
+    /// The replicas as service discovery reports them.
     pub(super) members: Vec<MembershipEntry>,
-    /// By replica, whether its process runs.
+    /// Whether the process of each replica runs.
     pub(super) is_alive: Vec<bool>,
 }
 
@@ -80,12 +80,13 @@
         replicas
     }
 
-    /// Schedules an event so long from now.
+    /// Schedules an event `after` the current time.
     pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
         self.events.push(self.now + after, event);
     }
 
-    /// The next events, all of one moment.
+    /// Advances time to the next events and returns them; all have the same time. Changes of replicas and health checks
+    /// are handled here and not returned.
     pub(super) fn next(&mut self) -> Vec<Event> {
         let Some(at) = self.events.next_at() else {
             return Vec::new();
@@ -113,7 +114,7 @@
         events
     }
 
-    /// An attempt has ended: the decision module is notified.
+    /// Ends an attempt and reports its outcome to the decision module.
     pub(super) fn complete(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
         if let Some(sent_at) = self.in_flight.remove(&attempt) {
             self.inputs.results.push(AttemptResult {
@@ -127,12 +128,12 @@
         }
     }
 
-    /// Whether an attempt has not ended yet.
+    /// Reports whether an attempt has not ended yet.
     pub(super) fn is_in_flight(&self, attempt: &Attempt) -> bool {
         self.in_flight.contains_key(attempt)
     }
 
-    /// One step of the decision module; what it decides, with each attempt under its number.
+    /// Runs a step of the decision module and returns its decisions, with the attempts numbered.
     pub(super) fn step(&mut self) -> Vec<Decision> {
         self.inputs.now = self.now;
         let inputs = std::mem::take(&mut self.inputs);
@@ -170,7 +171,7 @@
         log.decisions
     }
 
-    /// Sends an attempt to a replica; its number.
+    /// Sends an attempt to a replica and returns its number.
     fn send(&mut self, sent: &SentAttempt) -> usize {
         let counted = (sent.attempt.query, sent.attempt.sub_request);
         let count = self.attempt_counts.entry(counted).or_default();
--- a/crates/linenthread-simulation/src/merged/settings.rs
+++ b/crates/linenthread-simulation/src/merged/settings.rs
@@ -1,23 +1,23 @@
-//! The settings of the decision module.
+//! The configuration of the decision module.
 
 use linenthread_core::interface::{
     CoordinatorConfig, IndexConfig, Permissions, RetryBudget, ShardLayout, SlowStart, ValueGrowth,
 };
 
-/// Replica groups: each shard lies in two of them, and one replica stands in each.
+/// The number of replica groups. Each has one replica, and each shard is placed in two of them.
 pub(super) const REPLICA_GROUPS: usize = 4;
-/// Shards of each index.
+/// The number of shards of each index.
 pub(super) const SHARDS: usize = 12;
-/// Attempts that a sub-request may take.
+/// The maximum number of attempts of a sub-request.
 pub(super) const MAX_ATTEMPTS: usize = 3;
-/// What retries of all queries may take.
+/// The retry budget shared by all queries.
 const RETRY_BUDGET: RetryBudget = RetryBudget {
     reserve: 20.0,
     ratio: 0.5,
     window: 100_000,
 };
 
-/// Settings with these indexes.
+/// Returns the configuration with the given indexes.
 pub(super) fn deployment(indexes: Vec<IndexConfig>) -> CoordinatorConfig {
     CoordinatorConfig {
         coordinator_number: 0,
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -1,4 +1,4 @@
-//! One run from its start to its end, event by event.
+//! A run from start to end, event by event.
 
 use super::decision::Decision;
 use super::event::Event;
@@ -7,7 +7,7 @@
 use super::world::{CLIENTS, World};
 
 impl World<'_> {
-    /// Makes all queries, and waits until all are released.
+    /// Makes all queries and runs until all of them are released.
     pub(super) fn run(mut self) -> Statistics {
         let mut first_query_at = 0;
         for client in 0..CLIENTS {
@@ -21,7 +21,7 @@
         self.statistics
     }
 
-    /// Handles the events of one moment, and what the decision module decides then.
+    /// Handles the next events, and then the decisions that the decision module makes on them.
     fn step(&mut self) {
         for event in self.replicas.next() {
             match event {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Carries out a decision.
+    /// Handles a decision of the decision module.
     fn on_decision(&mut self, decision: &Decision) {
         match *decision {
             Decision::Send(attempt) => self.on_attempt(attempt),
--- a/crates/linenthread-simulation/src/merged/statistics.rs
+++ b/crates/linenthread-simulation/src/merged/statistics.rs
@@ -1,11 +1,11 @@
-//! What became of all queries, and how it is printed.
+//! The outcomes of all queries, and the printed summary.
 
 use serde_json::Value;
 
 use super::fault::ReplicaBehavior;
 use crate::number;
 
-/// What became of all queries.
+/// Counts of the outcomes of all queries.
 #[derive(Default)]
 pub(super) struct Statistics {
     pub(super) queries: usize,
@@ -27,7 +27,7 @@
         self.truncated += usize::from(response["cut"].is_object());
     }
 
-    /// Prints them, with what was drawn for the run.
+    /// Prints the counts, with the parameters drawn for the run.
     pub(super) fn print(&self, floor: f64, behavior: ReplicaBehavior) {
         let percent = |count: usize| number::percent(count, self.queries);
         println!(
@@ -46,7 +46,7 @@
     }
 }
 
-/// Whether a response says that it is complete.
+/// Reports whether a response is marked as complete.
 pub(super) fn is_complete(response: &Value) -> bool {
     response["finished"] == Value::Bool(true)
 }
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients' queries, the attempts of their sub-requests, and the responses.
+//! Queries of clients, the attempts of their sub-requests, and the responses.
 
 use std::collections::BTreeMap;
 
@@ -19,13 +19,14 @@
 use crate::number;
 use crate::random;
 
-/// After so long, in tenths of a millisecond, a client gives its query up.
+/// The hard deadline of a query relative to its start, in tenths of a millisecond.
 const HARD_DEADLINE: TenthMillis = 9_000;
-/// What a replica with a fault responds.
+/// The value that a faulty replica returns.
 const INVALID_VALUE: &str = "{\"rows\":[{}],\"totals\":1}";
 
 impl<'p> World<'p> {
-    /// A client's next query: the next page, perhaps after rows were added, or the first of another reading.
+    /// Makes a client's next query: the next page, in half of the cases after a row was added, or the first page of a new
+    /// read.
     pub(super) fn make_query(&mut self, client_index: usize) {
         let client = &mut self.clients[client_index];
         let rng = &mut self.replicas.rng;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Hands a query to the decision module.
+    /// Submits a query to the decision module.
     fn submit(&mut self, query: QueryIndex, client: usize, merger: Merger<'p>, page_size: usize) {
         let hard_deadline = self.replicas.now + HARD_DEADLINE;
         self.replicas.inputs.queries.push(NewQuery {
@@ -102,7 +103,7 @@
         self.open.insert(query, open);
     }
 
-    /// The decision module sends an attempt.
+    /// Records an attempt that the decision module has sent, and checks *bounded-attempts*.
     pub(super) fn on_attempt(&mut self, attempt: Attempt) {
         let Some(open) = self.open.get_mut(&attempt.query) else {
             return;
@@ -124,7 +125,7 @@
         }
     }
 
-    /// An attempt has ended: its value goes to the merger, its outcome to the decision module.
+    /// Ends an attempt: passes its value to the merger and its outcome to the decision module.
     pub(super) fn on_attempt_completed(&mut self, attempt: Attempt, fate: AttemptFate) {
         if !self.replicas.is_in_flight(&attempt) {
             return;
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Has the decision module send those sub-requests again of which the merger needs more rows.
+    /// Requests continuations from the decision module for the sub-requests of which the merger needs more rows.
     fn continue_sub_requests(&mut self, query: QueryIndex) {
         let Some(open) = self.open.get_mut(&query) else {
             return;
@@ -180,7 +181,7 @@
         self.replicas.inputs.continuations.extend(continuations);
     }
 
-    /// Marks a query as completed, and schedules its client's next one; false if there is no such query.
+    /// Marks a query as completed and schedules its client's next one. Returns false if there is no such query.
     pub(super) fn on_completed(&mut self, query: QueryIndex) -> bool {
         let Some(open) = self.open.get_mut(&query) else {
             return false;
--- a/crates/linenthread-simulation/src/merged/world.rs
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -1,4 +1,4 @@
-//! All state of a run: the clients, their queries, and the replicas.
+//! The state of a run: the clients, their queries, and the replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,16 +19,16 @@
 use super::settings::SHARDS;
 use super::statistics::Statistics;
 
-/// Clients at once, each with rows of its own.
+/// The number of concurrent clients, each with its own data.
 pub(super) const CLIENTS: usize = 6;
-/// The most violations that are printed.
+/// The maximum number of violations printed.
 const MAX_PRINTED: usize = 10;
-/// The time of day for cursors, in seconds since 1970: it stands still.
+/// The wall-clock time for cursors, in seconds since 1970; it doesn't advance.
 pub(super) const UNIX_SECONDS: u64 = 1_000;
-/// Longer than the time of day ever moves.
+/// Long enough that no cursor expires.
 const CURSOR_LIFETIME: Duration = Duration::from_secs(1 << 40);
 
-/// One run.
+/// The state of a run.
 pub(super) struct World<'p> {
     pub(super) options: &'p Options,
     pub(super) plans: &'p [Plan],
@@ -37,9 +37,9 @@
     pub(super) open: BTreeMap<QueryIndex, OpenQuery<'p>>,
     pub(super) clients: Vec<Client>,
     pub(super) statistics: Statistics,
-    /// Indices of released queries, which may be used again.
+    /// The indices of released queries, which are reused.
     pub(super) free_indices: Vec<QueryIndex>,
-    /// How many indices there are.
+    /// The number of indices allocated so far.
     pub(super) indices: usize,
 }
 
@@ -63,7 +63,8 @@
         World {
             options,
             plans,
-            signer: CursorSigner::new(vec![secret], CURSOR_LIFETIME).expect("long enough"),
+            signer: CursorSigner::new(vec![secret], CURSOR_LIFETIME)
+                .expect("the secret is long enough"),
             clients: (0..CLIENTS).map(|_| client()).collect(),
             replicas: SimulatedReplicas::new(
                 plans::index_configs(options.floor),
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Counts a violation, and prints it with the command that repeats the run.
+    /// Counts a violation. Prints the first [`MAX_PRINTED`] with the command that repeats the run.
     pub(super) fn violated(&mut self, query: QueryIndex, violation: &Violation) {
         self.statistics.violations += 1;
         if self.statistics.violations <= MAX_PRINTED {
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -1,5 +1,5 @@
-//! Benchmark of merging rows, beside the obvious way in the same run: parse all, sort, truncate. A
-//! violation is that the two give different pages.
+//! Benchmark of merging rows, compared with a baseline in the same run: parse all rows, sort and truncate. It is a
+//! violation if the two return different pages.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -18,15 +18,15 @@
 
 /// Rows on a page.
 const PAGE: usize = 100;
-/// Queries between two readings of the clock.
+/// The number of queries between two readings of the clock.
 const QUERIES_A_ROUND: u32 = 2_000;
-/// Larger inputs are merged once: ten million rows, each kept as a value, take some gigabytes.
+/// Larger inputs are merged only once: ten million rows, each kept as a value, take several gigabytes.
 const MAX_REPEATED_ROWS: usize = 1_000_000;
 
-/// Rows of a page, and how many were retained to find them.
+/// The rows of a page, and how many rows were retained to determine them.
 type PageAndRetained = (Vec<Value>, usize);
 
-/// Values of so many shards with so many rows each, in order.
+/// Returns the response values of `shards` shards, each with `rows` sorted rows.
 fn shard_values(shards: usize, rows: usize) -> Vec<String> {
     let mut rng = Rand64::new(11);
     let value = |shard: usize| {
@@ -39,7 +39,7 @@
     (0..shards).map(value).collect()
 }
 
-/// The obvious way, with the same fields read: every row is kept, all are sorted, and the page is taken.
+/// The baseline: keeps every row, sorts all of them and takes the first page. It reads the same fields as the merger.
 fn collect_sort_truncate(values: &[String]) -> PageAndRetained {
     let mut all: Vec<(u64, String, Value)> = Vec::new();
     for value in values {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Rows by ascending amount.
+/// Returns a plan that sorts rows by ascending amount.
 fn plan(page_size: usize, paginated: bool) -> Plan {
     let order = vec![SortField {
         field: "amount".into(),
@@ -117,16 +117,16 @@
     times[times.len() / 2]
 }
 
-/// The CPU time of one query, in microseconds.
+/// The time of one query, in microseconds.
 #[derive(Default)]
 struct QueryTimes {
-    /// Eight shards of 20 rows are merged into a page of 20 with its cursor.
+    /// Merging eight shards of 20 rows each into a page of 20 rows with a cursor.
     merged: f64,
-    /// The eight values are written into a response as they are.
+    /// Writing the eight values into a response unchanged.
     forwarded: f64,
 }
 
-/// Measures one query in both ways.
+/// Measures a query with merging and with forwarding.
 fn one_query(rounds: usize) -> QueryTimes {
     let plan = plan(20, true);
     let Ok(signer) = CursorSigner::new(vec![vec![7; 32]], Duration::from_secs(900)) else {
@@ -169,7 +169,7 @@
     start.elapsed().as_secs_f64() * 1e6 / f64::from(QUERIES_A_ROUND)
 }
 
-/// Prints a line for each size. Pages are checked; a violation is one that differs from the obvious way.
+/// Measures all sizes and prints a line for each. Each page that differs from the baseline's is a violation.
 pub(crate) fn run(rounds: usize) -> RunSummary {
     let (mut checked, mut violations) = (0, 0);
     println!(
@@ -193,7 +193,7 @@
     }
 }
 
-/// Merges inputs of one size in both ways, and prints a line; how many pages differ.
+/// Merges inputs of one size in both ways, prints a line, and returns how many pages differ.
 fn compare(shards: usize, rows_each: usize, rounds: usize) -> usize {
     let plan = plan(PAGE, false);
     let values = shard_values(shards, rows_each);
--- a/crates/linenthread-simulation/src/number.rs
+++ b/crates/linenthread-simulation/src/number.rs
@@ -1,22 +1,22 @@
-//! Conversions between counts, simulated times and figures, in one place.
+//! Numeric conversions between counts, simulated times and floating-point numbers.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_zones::ZoneIndex;
 
-/// A second of simulated time.
+/// One second of simulated time.
 pub(crate) const SECOND: TenthMillis = 10_000;
 
-/// A count as a figure. Beyond 2^53 its last digits are lost, which no figure shows.
+/// Converts a count. Counts above 2^53 lose their last digits; no printed number is that precise.
 pub(crate) fn float(count: usize) -> f64 {
     count as f64
 }
 
-/// A simulated time as a figure, in tenths of a millisecond; one that is never stays larger than all others.
+/// Converts a simulated time, in tenths of a millisecond. `TenthMillis::MAX`, which means never, stays the largest.
 pub(crate) fn float_of_time(time: TenthMillis) -> f64 {
     time as f64
 }
 
-/// A figure as a simulated time: what follows the point is cut off, and so is what no time can be.
+/// Converts tenths of a millisecond to a simulated time. Truncates the fraction and saturates at the bounds of the type.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the fraction is to be cut off; the conversion saturates"
@@ -25,12 +25,12 @@
     tenth_millis as TenthMillis
 }
 
-/// A simulated time in seconds.
+/// Converts a simulated time to seconds.
 pub(crate) fn seconds(time: TenthMillis) -> f64 {
     float_of_time(time) / float_of_time(SECOND)
 }
 
-/// A figure as a count: what follows the point is cut off, and what is below 0 is 0.
+/// Truncates a number to an integer. Negative numbers give 0; numbers too large saturate.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -40,37 +40,37 @@
     figure as u32
 }
 
-/// The position at a share of a sorted list's length; the length itself at a share of 1.
+/// Returns the index of a quantile in a sorted list of this length; a quantile of 1 gives the length itself.
 pub(crate) fn position(length: usize, share: f64) -> usize {
     index(u64::from(truncated(float(length) * share)))
 }
 
-/// A length as a count.
+/// Converts a length.
 pub(crate) fn count(length: usize) -> u64 {
     u64::try_from(length).expect("a length has at most 64 bits")
 }
 
-/// A count as an index.
+/// Converts a count to an index.
 pub(crate) fn index(count: u64) -> usize {
-    usize::try_from(count).expect("an index fits the machine")
+    usize::try_from(count).expect("the count fits into a usize")
 }
 
-/// A length as a small count.
+/// Converts a length that is known to be small.
 pub(crate) fn small(length: usize) -> u32 {
-    u32::try_from(length).expect("fewer than 2^32")
+    u32::try_from(length).expect("the length is below 2^32")
 }
 
-/// The index of a zone as reports have it.
+/// Converts the index of a zone to the type that reports use.
 pub(crate) fn zone_index(zone: usize) -> ZoneIndex {
-    ZoneIndex::new(zone).expect("few zones")
+    ZoneIndex::new(zone).expect("the index is within the limit of zones")
 }
 
-/// What part of all so many are, in percent; 0 of none.
+/// Returns `part` as a percentage of `all`; 0 if both are 0.
 pub(crate) fn percent(part: usize, all: usize) -> f64 {
     100.0 * float(part) / float(all.max(1))
 }
 
-/// A percentile of sorted times, in seconds; 0 if there are none.
+/// Returns a percentile of sorted times, in seconds; 0 if there are none.
 pub(crate) fn percentile_seconds(sorted: &[TenthMillis], percent: usize) -> f64 {
     let time = sorted.get(sorted.len() * percent / 100);
     time.map_or(0.0, |time| seconds(*time))
--- a/crates/linenthread-simulation/src/random.rs
+++ b/crates/linenthread-simulation/src/random.rs
@@ -1,4 +1,5 @@
-//! Draws of several types from the generator of a run. Each draw takes the same numbers from it, whatever its type.
+//! Random values of several types from the generator of a run. Each draw consumes the same numbers of the generator,
+//! whatever its type.
 
 use std::ops::Range;
 
@@ -7,25 +8,25 @@
 
 use crate::number;
 
-/// A number of a range.
+/// Draws a number from a range.
 pub(crate) fn within<T: TryFrom<u64>>(rng: &mut Rand64, range: Range<u64>) -> T {
     T::try_from(rng.rand_range(range))
         .ok()
         .expect("the range fits the type")
 }
 
-/// An index of a list of this length; 0 if it is empty.
+/// Draws an index into a list of this length; 0 if the list is empty.
 pub(crate) fn index(rng: &mut Rand64, length: usize) -> usize {
     within(rng, 0..number::count(length).max(1))
 }
 
-/// A simulated time of at least 0 and below the bound; 0 if the bound is.
+/// Draws a simulated time that is at least 0 and below the bound; 0 if the bound is not positive.
 pub(crate) fn time_below(rng: &mut Rand64, bound: TenthMillis) -> TenthMillis {
     let bound = u64::try_from(bound).unwrap_or(0);
     within(rng, 0..bound.max(1))
 }
 
-/// True in half of the draws.
+/// Returns true with a probability of one half.
 pub(crate) fn coin(rng: &mut Rand64) -> bool {
     rng.rand_range(0..2) == 0
 }
--- a/crates/linenthread-simulation/src/run_summary.rs
+++ b/crates/linenthread-simulation/src/run_summary.rs
@@ -1,13 +1,13 @@
-//! What a command checked, and how many violations it found.
+//! The summary of a command's run.
 
 use std::ops::AddAssign;
 
-/// What a command checked, and what it found.
+/// How much a command checked, and how many violations it found.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunSummary {
-    /// How many schedules, queries, sessions or sizes were checked.
+    /// The number of schedules, queries, sessions, sizes or table lines that were checked.
     pub(crate) checked: usize,
-    /// How many violations were found in them.
+    /// The number of violations found.
     pub(crate) violations: usize,
 }
 
--- a/crates/linenthread-simulation/src/schedules.rs
+++ b/crates/linenthread-simulation/src/schedules.rs
@@ -5,8 +5,8 @@
 
 use crate::number;
 
-/// Runs one schedule for each seed, and returns what each gave. The order is that of the seeds modulo the number of
-/// processors.
+/// Runs one schedule for each seed and returns their results, ordered by the seed modulo the number of processors and
+/// then by the seed.
 pub(crate) fn run_all<T: Send>(seeds: Range<u64>, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let threads = number::count(std::thread::available_parallelism().map_or(1, NonZero::get));
     std::thread::scope(|scope| {
@@ -18,7 +18,7 @@
         let parts: Vec<_> = (0..threads).map(run_part).collect();
         let parts = parts.into_iter();
         parts
-            .flat_map(|part| part.join().expect("a schedule ends"))
+            .flat_map(|part| part.join().expect("a schedule panicked"))
             .collect()
     })
 }
--- a/crates/linenthread-simulation/src/violation.rs
+++ b/crates/linenthread-simulation/src/violation.rs
@@ -1,8 +1,8 @@
-//! How an invariant was violated.
+//! The violation of an invariant.
 
 use std::fmt;
 
-/// The name of an invariant of one simulation, and how it was violated.
+/// An invariant of a simulation, and how it was violated.
 pub(crate) struct Violation<I> {
     invariant: I,
     details: String,
--- a/crates/linenthread-simulation/src/zones/fault.rs
+++ b/crates/linenthread-simulation/src/zones/fault.rs
@@ -1,27 +1,27 @@
-//! The fault of a schedule, and whom it concerns.
+//! The fault of a schedule, and the zones that it affects.
 
 use oorandom::Rand64;
 
 use crate::random;
 
-/// What goes wrong in a schedule.
+/// The fault that is injected into a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
-    /// Nothing, or things that a zone must not be ejected for.
+    /// Only noise, for which no zone must be ejected.
     Noise,
     ZoneLost(usize),
     PairPartitioned(usize, usize),
     ZoneSlow(usize),
-    /// Fewer than half of a zone's coordinators reach nothing.
+    /// Fewer than half of a zone's coordinators cannot reach any zone.
     ObserversIsolated(usize),
     Drain(usize),
     TwoZonesLost(usize, usize),
-    /// Reports of any content.
+    /// Reports with random content arrive.
     HostileReports,
 }
 
 impl Fault {
-    /// A random fault among so many zones.
+    /// Draws a fault for a number of zones.
     pub(super) fn random(zones: usize, rng: &mut Rand64) -> Fault {
         let a = random::index(rng, zones);
         let b = (a + 1 + random::index(rng, zones - 1)) % zones;
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Whether requests from one zone to another fail. `is_isolated` says whether the coordinator is one of those
-    /// that [`Fault::ObserversIsolated`] concerns.
+    /// Reports whether requests from one zone to another fail. `is_isolated` is true for the coordinators that
+    /// [`Fault::ObserversIsolated`] affects.
     pub(super) fn breaks(self, from: usize, to: usize, is_isolated: bool) -> bool {
         match self {
             Fault::ZoneLost(zone) => to == zone || from == zone,
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Whether a table may close a route as down or partitioned.
+    /// Reports whether a table may close a route as down or partitioned.
     pub(super) fn may_eject(self, from: usize, to: usize) -> bool {
         match self {
             Fault::Noise | Fault::ObserversIsolated(_) | Fault::Drain(_) => false,
-            // One that is so slow may fail most of its requests.
+            // A slow zone can be overloaded, so that most of its requests fail.
             Fault::ZoneSlow(zone) => to == zone,
             Fault::ZoneLost(zone) => to == zone || from == zone,
             Fault::TwoZonesLost(a, b) => to == a || to == b || from == a || from == b,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Whether no table reaches a zone, and no report leaves it.
+    /// Reports whether a zone is cut off from the leader: it receives no tables, and its reports don't arrive.
     pub(super) fn isolates(self, zone: usize) -> bool {
         self == Fault::ZoneLost(zone)
     }
 
-    /// Whether a zone is slow.
+    /// Reports whether a zone is slow.
     pub(super) fn is_slow(self, zone: usize) -> bool {
         self == Fault::ZoneSlow(zone)
     }
--- a/crates/linenthread-simulation/src/zones/invariant.rs
+++ b/crates/linenthread-simulation/src/zones/invariant.rs
@@ -1,19 +1,19 @@
-//! The invariants that hold in every schedule. `docs/failover-design.md` says what upholds most of them.
+//! The invariants that hold in every schedule. `docs/failover-design.md` explains how most of them are ensured.
 
 use std::fmt;
 
 /// An invariant. A violation is printed under its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Invariant {
-    /// A table sends no zone more than it can process, or than it gets while all routes are open.
+    /// A table sends no zone more than it can process, unless the zone gets as much while all routes are open.
     WithinCapacity,
     /// No route is closed while nothing is wrong.
     LocalWhileHealthy,
     /// Routes are closed as down or partitioned only where the fault is.
     OnlyFaultyClosed,
-    /// Routes are opened again only so often.
+    /// The number of times that routes are reopened is bounded.
     NoFlapping,
-    /// A fault that enough requests meet is handled within a few seconds.
+    /// A fault that affects enough requests is handled within 8 s.
     HandledInTime,
     /// After the fault all routes are open again.
     Recovers,
--- a/crates/linenthread-simulation/src/zones/invariants.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -1,4 +1,4 @@
-//! What a table must hold when it is made, and what must hold at a schedule's end.
+//! The checks of each new table, and those at the end of a schedule.
 
 use linenthread_zones::{ALL_KEYS, Loads, Reason, RoutingTable, loads};
 
@@ -8,17 +8,17 @@
 use super::{MINUTE, START};
 use crate::number;
 
-/// A zone may get this many times its capacity: demand is measured through noise.
+/// The factor by which a zone may exceed its capacity, since the measured demand is noisy.
 const LOAD_TOLERANCE: f64 = 1.15;
-/// A coordinator that sends fewer requests a second to a zone may not notice its loss.
+/// The requests per second to a zone below which a coordinator may not notice the loss of the zone.
 const MIN_NOTICED: f64 = 10.0;
-/// Openings in a row that the controller allows.
+/// The number of consecutive openings that the controller allows.
 const MAX_OPENINGS: f64 = 20.0;
-/// Openings that a new leader may add.
+/// The number of additional openings allowed for each leader.
 const OPENINGS_PER_LEADER: f64 = 5.0;
 
 impl World {
-    /// The load while all routes are open.
+    /// Returns the loads while all routes are open.
     pub(super) fn usual_loads(&self) -> Loads {
         let names = vec![String::new(); self.topology.zones.len()];
         loads(
@@ -28,7 +28,7 @@
         )
     }
 
-    /// Checks a table that was made now.
+    /// Checks a new table.
     pub(super) fn check_table(&mut self, table: &RoutingTable) {
         self.check_capacity(table);
         let ejected = routes_closed_for(table, &[Reason::ZoneDown, Reason::Partitioned]);
@@ -52,7 +52,8 @@
         }
     }
 
-    /// *within-capacity*: by what a zone can truly process, or what it bears anyway while all is healthy.
+    /// Checks *within-capacity*: a table sends no zone more than its true capacity or, if that is higher, its load while
+    /// all routes are open.
     fn check_capacity(&mut self, table: &RoutingTable) {
         let load = loads(&self.topology, &self.demand, &table.rows);
         let usual = self.usual_loads();
@@ -73,13 +74,13 @@
         }
     }
 
-    /// Whether the table has closed a route.
+    /// Reports whether the table has closed a route.
     fn is_closed(&self, from: usize, to: usize) -> bool {
         let table = self.table.as_ref();
         table.is_some_and(|table| table.rows[from].routes[to].share == 0)
     }
 
-    /// Whether the table has closed the routes that it should.
+    /// Reports whether the table has closed the routes that the fault requires.
     pub(super) fn is_handled(&self) -> bool {
         let mut zones = 0..self.topology.zones.len();
         match self.fault {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Whether the fault must be noticed: enough requests go where it shows.
+    /// Reports whether the fault must be handled: enough requests are affected for coordinators to notice it.
     pub(super) fn must_be_noticed(&self, drain_accepted: bool) -> bool {
         let usual = self.usual_loads();
         let coordinators = number::float(self.coordinators.len() / self.topology.zones.len());
@@ -111,13 +112,14 @@
         }
     }
 
-    /// Whether all routes are open.
+    /// Reports whether all routes are open.
     pub(super) fn is_open(&self) -> bool {
         let table = self.table.as_ref();
         table.is_none_or(|table| table.routes().all(|route| route.share == ALL_KEYS))
     }
 
-    /// *no-flapping*: openings in a row, one more with each minute, and some with each change of the leader.
+    /// Checks *no-flapping*: allows [`MAX_OPENINGS`], one more for each minute, and [`OPENINGS_PER_LEADER`] for each
+    /// leader.
     pub(super) fn check_openings(&mut self) {
         let minutes = number::float_of_time(self.now - START) / MINUTE;
         let bound = MAX_OPENINGS + minutes + OPENINGS_PER_LEADER * f64::from(self.leaders);
@@ -131,7 +133,7 @@
     }
 }
 
-/// Routes, from and to, that a table has closed or limited for one of these reasons.
+/// Returns the routes, as pairs of zones, that a table has closed or limited for one of the given reasons.
 fn routes_closed_for(table: &RoutingTable, reasons: &[Reason]) -> Vec<(usize, usize)> {
     let mut closed = Vec::new();
     for (from, row) in table.rows.iter().enumerate() {
--- a/crates/linenthread-simulation/src/zones/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -1,23 +1,23 @@
-//! Zones in simulated time: coordinators observe what truly happens through noise, loss and lag, one controller
-//! decides for all, and where its table sends requests is checked by what each zone can truly process.
+//! Checks failover between zones in simulated time. Coordinators observe their requests with noise, reports are lost and
+//! tables arrive late. One controller decides for all; its routing tables are checked against the true state of zones.
 //!
 //! A schedule has one fault ([`fault::Fault`]): one or two zones are lost, two are partitioned from each other, one is
-//! slow or drained, some coordinators are isolated, or reports say anything. In others nothing is wrong but noise.
-//! Leaders change at any time.
+//! slow or drained, some coordinators are isolated, or reports have random content. Some schedules have only noise. The
+//! leader can change at any time.
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
-//! | within-capacity | a table sends no zone more than it can process, or than it gets while all routes are open |
+//! | within-capacity | a table sends no zone more than it can process, unless it gets as much while all routes are open |
 //! | local-while-healthy | no route is closed while nothing is wrong |
 //! | only-faulty-closed | routes are closed as down or partitioned only where the fault is |
-//! | no-flapping | routes are opened again only so often |
-//! | handled-in-time | a fault that enough requests meet is handled within 8 s |
+//! | no-flapping | the number of times that routes are reopened is bounded |
+//! | handled-in-time | a fault that affects enough requests is handled within 8 s |
 //! | recovers | after the fault all routes are open again |
 //!
-//! A violation is printed with its schedule, which is the seed, and its fault. To run that one again, with all tables:
+//! A violation is printed with its schedule, which is the seed, and its fault. To repeat a schedule and print all tables:
 //! `SHOW=1 linenthread-simulation zones --schedules 1 --seed N`.
 //!
-//! Start reading at [`simulation`]: a step is traffic, reports, a decision, and `tables` on their way.
+//! Start reading at [`simulation`]: a step consists of traffic, reports, a decision, and the delivery of `tables`.
 
 mod fault;
 mod invariant;
@@ -37,30 +37,30 @@
 use statistics::print_summary;
 use world::World;
 
-/// A minute of simulated time.
+/// One minute of simulated time, in tenths of a millisecond.
 const MINUTE: f64 = 600_000.0;
-/// When a schedule starts.
+/// The simulated time at which a schedule starts.
 const START: TenthMillis = 100 * SECOND;
-/// How much time passes in a step.
+/// The simulated time of a step.
 const STEP: TenthMillis = 5_000;
-/// The same in seconds.
+/// [`STEP`] in seconds.
 const STEP_SECONDS: f64 = 0.5;
-/// The most violations that are printed.
+/// The maximum number of violations printed.
 const MAX_PRINTED: usize = 20;
 
-/// Which schedules are run.
+/// Options of the command.
 #[derive(Clone, Debug)]
 pub(crate) struct Options {
-    /// How many.
+    /// The number of schedules.
     pub(crate) schedules: usize,
-    /// The seed of the first; the others count on from it.
+    /// The seed of the first schedule; each further schedule uses the next seed.
     pub(crate) seed: u64,
 }
 
-/// What became of a schedule.
+/// The outcome of a schedule.
 struct Outcome {
     violations: Vec<String>,
-    /// How long after its start a fault was handled that had to be.
+    /// How long after its start the fault was handled; `None` if it did not have to be.
     handled_after: Option<TenthMillis>,
 }
 
--- a/crates/linenthread-simulation/src/zones/reports.rs
+++ b/crates/linenthread-simulation/src/zones/reports.rs
@@ -1,4 +1,4 @@
-//! What arrives at the leader of the coordinators' reports.
+//! The reports that arrive at the leader.
 
 use linenthread_zones::{Demand, Report, RouteStats, ZonePair};
 
@@ -7,7 +7,7 @@
 use crate::random;
 
 impl World {
-    /// What arrives of all coordinators' reports: some are lost on the way, those of a lost zone all.
+    /// Returns the sum of the reports that arrive: one in ten is lost, and all of a lost zone are.
     pub(super) fn collect_reports(&mut self) -> Report {
         let mut sum = Report::default();
         for coordinator in &mut self.coordinators {
@@ -20,7 +20,7 @@
         sum
     }
 
-    /// A report of any content.
+    /// Returns a report with random content.
     pub(super) fn hostile_report(&mut self) -> Report {
         let mut report = Report::default();
         let zones = self.topology.zones.len();
@@ -47,6 +47,6 @@
             };
             report.demand.insert(route.from, demand);
         }
-        Report::decode(&report.encode()).expect("a report of ours")
+        Report::decode(&report.encode()).expect("an encoded report can be decoded")
     }
 }
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -1,4 +1,4 @@
-//! One schedule from its start to its end, step by step.
+//! A schedule from start to end, step by step.
 
 use linenthread_core::interface::TenthMillis;
 
@@ -9,15 +9,15 @@
 use crate::failover_config::failover_config;
 use crate::random;
 
-/// A new leader takes over once in so many steps.
+/// The mean number of steps between changes of the leader.
 const LEADER_CHANGE_STEPS: u64 = 60;
-/// Steps before the fault.
+/// The number of steps before the fault.
 const HEALTHY_STEPS: usize = 40;
-/// A fault must be handled within so long.
+/// The time within which a fault must be handled.
 const MAX_REACTION_TIME: TenthMillis = 8 * SECOND;
 
 impl World {
-    /// Runs the schedule.
+    /// Runs the schedule and returns its outcome.
     pub(super) fn run(mut self) -> Outcome {
         for _ in 0..HEALTHY_STEPS {
             self.step();
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Runs with the fault; whether the drain was accepted, if that is the fault.
+    /// Runs the schedule while the fault is active. Returns false if the fault is a drain that was rejected.
     fn run_fault(&mut self) -> bool {
         self.fault_is_active = true;
         let started_at = self.now;
         let mut drain_accepted = true;
         if let Fault::Drain(zone) = self.fault {
-            // Where shards are placed there alone it is refused.
+            // The drain is rejected if some shards are placed only in this zone.
             let name = format!("z{zone}");
             drain_accepted = self.topology.may_drain(&name, &self.drained).is_ok();
             self.drained.extend(drain_accepted.then_some(name));
@@ -70,7 +70,8 @@
         drain_accepted
     }
 
-    /// After the fault: after the longest ejection and all steps, with some time for noise, all is open.
+    /// Runs the schedule after the fault. All routes must be open again after the longest ejection and all return steps,
+    /// with twice that time plus 20 s allowed because of noise.
     fn run_recovery(&mut self) {
         self.fault_is_active = false;
         self.drained.clear();
@@ -92,7 +93,7 @@
         }
     }
 
-    /// One step of time: tables arrive, requests are sent, reports are collected, the leader decides.
+    /// Advances time by one step: tables arrive, requests are sent, reports are collected, and the leader decides.
     fn step(&mut self) {
         self.now += STEP;
         self.deliver_tables();
--- a/crates/linenthread-simulation/src/zones/statistics.rs
+++ b/crates/linenthread-simulation/src/zones/statistics.rs
@@ -1,11 +1,11 @@
-//! What schedules counted, and the summary that is printed of them.
+//! The printed summary of all schedules.
 
 use linenthread_core::interface::TenthMillis;
 
 use super::Outcome;
 use crate::number;
 
-/// Prints how long after their start faults were handled.
+/// Prints how long after their start the faults were handled.
 pub(super) fn print_summary(outcomes: &[Outcome]) {
     let handled = outcomes.iter().filter_map(|outcome| outcome.handled_after);
     let mut handled: Vec<TenthMillis> = handled.collect();
--- a/crates/linenthread-simulation/src/zones/tables.rs
+++ b/crates/linenthread-simulation/src/zones/tables.rs
@@ -1,4 +1,4 @@
-//! Routing tables on their way from the leader to the coordinators.
+//! The delivery of routing tables from the leader to the coordinators.
 
 use linenthread_zones::{ALL_KEYS, RoutingTable};
 
@@ -6,11 +6,11 @@
 use crate::number;
 use crate::random;
 
-/// Set in the environment, it has all tables printed.
+/// The environment variable that makes the simulation print all tables.
 const SHOW_VARIABLE: &str = "SHOW";
 
 impl World {
-    /// Tables arrive at each coordinator in their order, some late.
+    /// Delivers the tables that have arrived at each coordinator, in the order in which they were sent.
     pub(super) fn deliver_tables(&mut self) {
         for coordinator in &mut self.coordinators {
             let arriving = &mut coordinator.arriving;
@@ -20,15 +20,15 @@
         }
     }
 
-    /// A new leader goes on from the replicated table alone.
+    /// Replaces the leader. The new leader's controller starts from the replicated table only.
     pub(super) fn change_leader(&mut self) {
         self.leaders += 1;
         self.controller = controller(&self.topology, self.table.as_ref(), self.now);
     }
 
-    /// A table was made.
+    /// Replicates, distributes and checks a new table.
     pub(super) fn on_table(&mut self, table: &RoutingTable) {
-        let table = RoutingTable::decode(&table.encode()).expect("a table of ours");
+        let table = RoutingTable::decode(&table.encode()).expect("an encoded table can be decoded");
         let before: Vec<u16> = match &self.table {
             Some(table) => table.routes().map(|route| route.share).collect(),
             None => vec![ALL_KEYS; self.topology.zones.len().pow(2)],
@@ -47,7 +47,7 @@
         self.check_table(&table);
     }
 
-    /// A table is on its way to all coordinators that it can reach.
+    /// Sends a table to all coordinators that the leader can reach.
     fn send_table(&mut self, table: &RoutingTable) {
         for coordinator in &mut self.coordinators {
             if self.fault_is_active && self.fault.isolates(coordinator.zone) {
