--- a/crates/linenthread-simulation/src/zones/traffic.rs
+++ b/crates/linenthread-simulation/src/zones/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic between zones, and what coordinators observe of it.
+//! The traffic between zones, as coordinators observe it.
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_zones::loads;
@@ -8,28 +8,28 @@
 use crate::number;
 use crate::random;
 
-/// The factor by which a slow zone is slower.
+/// The factor by which a slow zone is slower than usual.
 const SLOWDOWN: f64 = 6.0;
-/// In a burst there is so many times the usual demand.
+/// The ratio of the demand in a burst to the usual demand.
 const BURST: f64 = 1.3;
-/// One step in so many is a burst.
+/// The mean number of steps between bursts.
 const BURST_EVERY: u64 = 20;
-/// The share of requests that fail at any time.
+/// The share of requests that fail without any fault.
 const USUAL_FAILURES: f64 = 0.05;
-/// A utilization above this lengthens queues no further.
+/// The utilization above which queueing doesn't increase further.
 const MAX_QUEUED_UTILIZATION: f64 = 0.9;
-/// The most outcomes that a coordinator observes on a route in a step.
+/// The maximum number of outcomes that a coordinator observes on a route in a step.
 const MAX_OUTCOMES: u32 = 400;
-/// Above this mean a Poisson number is drawn by its normal approximation.
+/// The mean above which a Poisson distribution is approximated by a normal distribution.
 const MAX_EXACT_MEAN: f64 = 30.0;
-/// The most factors of an exact Poisson draw.
+/// The upper bound of a number drawn exactly from a Poisson distribution.
 const MAX_POISSON: u32 = 200;
-/// Replicas are numbered from here in each zone.
+/// The distance between the first replica numbers of consecutive zones.
 const REPLICAS_PER_ZONE: usize = 100;
 const TENTHS_PER_MS: f64 = 10.0;
 
 impl World {
-    /// A random number of a Poisson distribution.
+    /// Draws a number from a Poisson distribution.
     fn poisson(&mut self, mean: f64) -> u32 {
         if mean > MAX_EXACT_MEAN {
             let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
@@ -44,7 +44,7 @@
         number
     }
 
-    /// One step of traffic, as all coordinators observe it.
+    /// Simulates the traffic of one step and feeds the observations to all coordinators.
     pub(super) fn run_traffic(&mut self) {
         let zones = self.topology.zones.len();
         let coordinators_per_zone = number::float(self.coordinators.len() / zones);
@@ -53,7 +53,7 @@
         } else {
             1.0
         };
-        // Where requests truly go: each coordinator acts on the table that it has.
+        // The true load of each zone: each coordinator routes by the table that it has.
         let mut load = vec![0.0; zones];
         let mut flows = Vec::new();
         for coordinator in &self.coordinators {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// One coordinator's requests to a zone, `flow` a second of the zone's whole `load`.
+    /// Draws the outcomes of a coordinator's requests to a zone: `flow` requests per second, of the total `load` on the
+    /// zone.
     fn observe(&mut self, coordinator: usize, to: usize, flow: f64, load: f64) {
         let completed = self.poisson(flow * STEP_SECONDS).min(MAX_OUTCOMES);
         let slowdown = if self.fault_is_active && self.fault.is_slow(to) {
@@ -89,7 +90,7 @@
             1.0
         };
         let utilization = load / (self.capacity[to] / slowdown);
-        // More fail where too much arrives.
+        // The requests that exceed the zone's capacity fail, too.
         let failures = if self.is_broken(coordinator, to) {
             1.0
         } else {
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: zones, their coordinators, and the leader's controller.
+//! The state of a schedule: zones, their coordinators, and the leader's controller.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -15,45 +15,45 @@
 use crate::number;
 use crate::random;
 
-/// A schedule ends after so many violations.
+/// The fault phase of a schedule ends early when there are more violations than this.
 pub(super) const MAX_VIOLATIONS: usize = 3;
-/// The work that a replica does in a second, in milliseconds: two requests at once.
+/// The service time that a replica provides per second, in milliseconds; it processes two requests concurrently.
 const REPLICA_MS_PER_SECOND: f64 = 2_000.0;
 
-/// A table on its way to a coordinator.
+/// A table in flight to a coordinator.
 pub(super) struct ArrivingTable {
     pub(super) arrives_at: TenthMillis,
     pub(super) table: RoutingTable,
 }
 
-/// One coordinator.
+/// A coordinator and the zone it is in.
 pub(super) struct Coordinator {
     pub(super) zone: usize,
     pub(super) observer: ZoneObserver,
-    /// Tables on their way, in the order in which they arrive.
+    /// Tables in flight, in the order in which they arrive.
     pub(super) arriving: VecDeque<ArrivingTable>,
-    /// The table that it acts on.
+    /// The table that it routes by.
     pub(super) table: RoutingTable,
 }
 
-/// One schedule.
+/// The state of a schedule.
 pub(super) struct World {
     pub(super) now: TenthMillis,
     seed: u64,
     pub(super) rng: Rand64,
     pub(super) topology: Topology,
-    /// By zone, requests a second that its replicas can process.
+    /// Requests per second that the replicas of each zone can process.
     pub(super) capacity: Vec<f64>,
-    /// By zone, requests a second that its clients need.
+    /// Requests per second that the clients of each zone make.
     pub(super) demand: Vec<f64>,
     pub(super) service_ms: f64,
     pub(super) coordinators: Vec<Coordinator>,
-    /// The replicated table.
+    /// The replicated table; `None` until the first one is made.
     pub(super) table: Option<RoutingTable>,
     pub(super) controller: FailoverController,
     pub(super) fault: Fault,
     pub(super) fault_is_active: bool,
-    /// Zones that operators drain.
+    /// The zones that operators drain.
     pub(super) drained: BTreeSet<String>,
     pub(super) violations: Vec<String>,
     pub(super) openings: u32,
@@ -63,17 +63,18 @@
     pub(super) handled_after: Option<TenthMillis>,
 }
 
-/// A controller that goes on from a table.
+/// Returns a controller that continues from a table.
 pub(super) fn controller(
     topology: &Topology,
     table: Option<&RoutingTable>,
     now: TenthMillis,
 ) -> FailoverController {
     FailoverController::new(failover_config(), topology.zones.clone(), table, now)
-        .expect("a valid configuration")
+        .expect("the configuration is valid")
 }
 
-/// Shards on a ring of replica groups: each shard is in several consecutive groups, and these go round the zones.
+/// Places shards on a ring of replica groups: each shard is in `copies` consecutive groups, and consecutive groups are in
+/// different zones.
 fn placements(zones: usize, groups: usize, copies: usize) -> Vec<Placement> {
     let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
     for shard in 0..groups {
@@ -90,7 +91,7 @@
 }
 
 impl World {
-    /// A world in which nothing is wrong yet.
+    /// Creates the state before the fault.
     pub(super) fn new(seed: u64) -> World {
         let mut rng = Rand64::new(u128::from(seed));
         let count = 2 + random::index(&mut rng, 4);
@@ -111,7 +112,7 @@
             placements: placements(count, replicas * count, copies),
         };
         let capacity = vec![replica_capacity * number::float(replicas); count];
-        // From idle to nearly full.
+        // From nearly idle to a high utilization.
         let utilization = 0.15 + 0.45 * rng.rand_float();
         let demand = capacity
             .iter()
@@ -162,10 +163,10 @@
         ));
     }
 
-    /// Whether requests of a coordinator to a zone fail now.
+    /// Reports whether requests of a coordinator to a zone currently fail.
     pub(super) fn is_broken(&self, coordinator: usize, to: usize) -> bool {
         let from = self.coordinators[coordinator].zone;
-        // The first of each zone.
+        // The first coordinator of each zone is affected.
         let is_isolated = coordinator < self.topology.zones.len();
         self.fault_is_active && self.fault.breaks(from, to, is_isolated)
     }
