--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -1,6 +1,6 @@
 //! Compares policies for failover between zones ([`policy::Policy`]). Each policy is run on the same fleet in simulated
-//! time, with the same faults and random seeds. Replicas have queues, cores and a slow start; the decision module and the
-//! failover controller are those of the program.
+//! time, with the same faults and random seeds. Replicas have queues, cores and a slow start; the decision module and
+//! the failover controller are those of the program.
 //!
 //! Each run has one fault ([`fault::Fault`]) that starts after 15 s: none, a zone lost for a long or a short time, a
 //! slow zone, two zones partitioned from each other, or one zone lost and another slow.
@@ -75,8 +75,9 @@
     })
 }
 
-/// Runs all policies under all faults and prints a table for each utilization. Each line is checked: it is a violation if
-/// the shared controller is worse, by more than [`TOLERANCE`], than the best policy without knowledge of the true state.
+/// Runs all policies under all faults and prints a table for each utilization. Each line is checked: it is a violation
+/// if the shared controller is worse, by more than [`TOLERANCE`], than the best policy without knowledge of the true
+/// state.
 pub(crate) fn run(seeds: usize, seed: u64) -> RunSummary {
     let mut violations = 0;
     for utilization in UTILIZATIONS {
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -14,8 +14,8 @@
 //! | commits | if values are proposed, at least one is committed |
 //! | recovers | after the faults there is one leader, all voters vote, all know all members and the newest values |
 //!
-//! A violation is printed with its schedule, which is the seed. To repeat a schedule and print all events of the fleets:
-//! `SHOW=1 linenthread-simulation fleet --schedules 1 --seed N`.
+//! A violation is printed with its schedule, which is the seed. To repeat a schedule and print all events of the
+//! fleets: `SHOW=1 linenthread-simulation fleet --schedules 1 --seed N`.
 //!
 //! Start reading at [`simulation`]; `execution` calls processes and performs their actions, `connections` carries what
 //! they send.
--- a/crates/linenthread-simulation/src/fleet/recovery.rs
+++ b/crates/linenthread-simulation/src/fleet/recovery.rs
@@ -6,8 +6,8 @@
 use super::world::World;
 
 impl World {
-    /// Ends all faults: heals the network and the disks, resumes paused processes, reopens stopped voters, and starts the
-    /// processes that don't run.
+    /// Ends all faults: heals the network and the disks, resumes paused processes, reopens stopped voters, and starts
+    /// the processes that don't run.
     pub(super) fn end_faults(&mut self) {
         self.network.heal();
         self.events
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -1,10 +1,10 @@
-//! Checks a link between sites in simulated time: both ends of `linenthread-link` in one deterministic run, compared with
-//! a record of the calls that really ran.
+//! Checks a link between sites in simulated time: both ends of `linenthread-link` in one deterministic run, compared
+//! with a record of the calls that really ran.
 //!
 //! A client makes a call every few milliseconds, each with a deadline. Faults ([`fault`]): the connection is cut and
-//! both ends are notified; frames are lost silently, in one direction or both; the server restarts without its state. In
-//! addition, connections fail to open, and frames are late or arrive twice. Faults are injected in the first 3 s of a
-//! schedule; in its last 3 s the link must work normally.
+//! both ends are notified; frames are lost silently, in one direction or both; the server restarts without its state.
+//! In addition, connections fail to open, and frames are late or arrive twice. Faults are injected in the first 3 s of
+//! a schedule; in its last 3 s the link must work normally.
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -1,5 +1,5 @@
-//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Queries during outages are
-//! verified by the checker of `linenthread-fakes`, which reports the violations.
+//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Queries during outages
+//! are verified by the checker of `linenthread-fakes`, which reports the violations.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/crates/linenthread-simulation/src/main.rs
+++ b/crates/linenthread-simulation/src/main.rs
@@ -1,6 +1,6 @@
-//! `linenthread-simulation`: long-running checks and measurements of each subsystem. A command takes a seed and a count,
-//! prints each violation with what is needed to repeat it, ends with the line `N checked, B violations`, and exits with
-//! 1 if B is not 0.
+//! `linenthread-simulation`: long-running checks and measurements of each subsystem. A command takes a seed and a
+//! count, prints each violation with what is needed to repeat it, ends with the line `N checked, B violations`, and
+//! exits with 1 if B is not 0.
 //!
 //! Start reading at [`commands`], which has a module for each command:
 //!
@@ -14,12 +14,12 @@
 //! | `dataplane` | [`dataplane`] | the data plane, with the simulation of `linenthread-dataplane-sim` |
 //! | `failover` | [`failover`] | a comparison of policies for failover between zones |
 //! | `members` | [`members`] | a benchmark of fleet membership |
-//! | `merging-speed`, `link-speed` | [`merging_speed`], [`link_speed`] | benchmarks of merging and of a link on loopback |
+//! | `merging-speed`, `link-speed` | [`merging_speed`], [`link_speed`] | benchmarks of merging and of a loopback link |
 //! | `link-bytes`, `processes` | [`commands`] | scenarios of `linenthread-fakes` with real processes |
 //!
-//! `system`, `fleet`, `zones`, `link`, `merged` and `failover` run in simulated time: everything random derives from the
-//! seed, so the same command prints the same numbers. The documentation of each module lists its faults, the invariants
-//! with their names, and how to repeat one schedule. These modules have the same layout:
+//! `system`, `fleet`, `zones`, `link`, `merged` and `failover` run in simulated time: everything random derives from
+//! the seed, so the same command prints the same numbers. The documentation of each module lists its faults, the
+//! invariants with their names, and how to repeat one schedule. These modules have the same layout:
 //!
 //! | file | contents |
 //! | --- | --- |
--- a/crates/linenthread-simulation/src/merged/decision.rs
+++ b/crates/linenthread-simulation/src/merged/decision.rs
@@ -33,7 +33,8 @@
     pub(super) timeout: TenthMillis,
 }
 
-/// Records the decisions of one step. Sent attempts have the number 0 here, since the decision module doesn't number them.
+/// Records the decisions of one step. Sent attempts have the number 0 here, since the decision module doesn't number
+/// them.
 #[derive(Default)]
 pub(super) struct DecisionLog {
     pub(super) decisions: Vec<Decision>,
--- a/crates/linenthread-simulation/src/merged/invariant.rs
+++ b/crates/linenthread-simulation/src/merged/invariant.rs
@@ -11,7 +11,8 @@
     ValidValuesCount,
     /// A second value of one sub-request changes nothing.
     DuplicatesDoNotCount,
-    /// A sub-request is sent at most [`MAX_ATTEMPTS`](super::settings::MAX_ATTEMPTS) times, and never after the response.
+    /// A sub-request is sent at most [`MAX_ATTEMPTS`](super::settings::MAX_ATTEMPTS) times, and never after the
+    /// response.
     BoundedAttempts,
     /// A query gets exactly one outcome, before its hard deadline.
     OneResponseInTime,
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -2,8 +2,8 @@
 //! module and `linenthread-merge`. Each response is checked against the full data.
 //!
 //! Faults ([`fault`], [`faults`]): attempts take longer than a query waits, fail, are rejected, lose their connection,
-//! return an invalid value, or return two different values; replicas stop, drain and return. The probabilities are drawn
-//! from the seed. Rows are added while clients read.
+//! return an invalid value, or return two different values; replicas stop, drain and return. The probabilities are
+//! drawn from the seed. Rows are added while clients read.
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
@@ -16,11 +16,11 @@
 //! | partial-is-marked | a response that is partial for the decision module is not marked as complete |
 //! | bounded-rows | no more rows are retained than a page has |
 //!
-//! There are no schedules: a violation is printed with the command that repeats the whole run. The number of the query is
-//! its index in the decision module; indices are reused.
+//! There are no schedules: a violation is printed with the command that repeats the whole run. The number of the query
+//! is its index in the decision module; indices are reused.
 //!
-//! Start reading at [`simulation`]; `replicas` contains the decision module with its replicas, `open_query` and `client`
-//! the state of queries.
+//! Start reading at [`simulation`]; `replicas` contains the decision module with its replicas, `open_query` and
+//! `client` the state of queries.
 
 mod client;
 mod decision;
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -25,8 +25,8 @@
 const INVALID_VALUE: &str = "{\"rows\":[{}],\"totals\":1}";
 
 impl<'p> World<'p> {
-    /// Makes a client's next query: the next page, in half of the cases after a row was added, or the first page of a new
-    /// read.
+    /// Makes a client's next query: the next page, in half of the cases after a row was added, or the first page of a
+    /// new read.
     pub(super) fn make_query(&mut self, client_index: usize) {
         let client = &mut self.clients[client_index];
         let rng = &mut self.replicas.rng;
--- a/crates/linenthread-simulation/src/number.rs
+++ b/crates/linenthread-simulation/src/number.rs
@@ -16,7 +16,8 @@
     time as f64
 }
 
-/// Converts tenths of a millisecond to a simulated time. Truncates the fraction and saturates at the bounds of the type.
+/// Converts tenths of a millisecond to a simulated time. Truncates the fraction and saturates at the bounds of the
+/// type.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the fraction is to be cut off; the conversion saturates"
--- a/crates/linenthread-simulation/src/zones/invariants.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Checks *within-capacity*: a table sends no zone more than its true capacity or, if that is higher, its load while
-    /// all routes are open.
+    /// Checks *within-capacity*: a table sends no zone more than its true capacity or, if that is higher, its load
+    /// while all routes are open.
     fn check_capacity(&mut self, table: &RoutingTable) {
         let load = loads(&self.topology, &self.demand, &table.rows);
         let usual = self.usual_loads();
--- a/crates/linenthread-simulation/src/zones/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -1,5 +1,6 @@
-//! Checks failover between zones in simulated time. Coordinators observe their requests with noise, reports are lost and
-//! tables arrive late. One controller decides for all; its routing tables are checked against the true state of zones.
+//! Checks failover between zones in simulated time. Coordinators observe their requests with noise, reports are lost
+//! and tables arrive late. One controller decides for all; its routing tables are checked against the true state of
+//! zones.
 //!
 //! A schedule has one fault ([`fault::Fault`]): one or two zones are lost, two are partitioned from each other, one is
 //! slow or drained, some coordinators are isolated, or reports have random content. Some schedules have only noise. The
@@ -7,15 +8,15 @@
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
-//! | within-capacity | a table sends no zone more than it can process, unless it gets as much while all routes are open |
+//! | within-capacity | a table sends no zone more than it can process or gets while all routes are open |
 //! | local-while-healthy | no route is closed while nothing is wrong |
 //! | only-faulty-closed | routes are closed as down or partitioned only where the fault is |
 //! | no-flapping | the number of times that routes are reopened is bounded |
 //! | handled-in-time | a fault that affects enough requests is handled within 8 s |
 //! | recovers | after the fault all routes are open again |
 //!
-//! A violation is printed with its schedule, which is the seed, and its fault. To repeat a schedule and print all tables:
-//! `SHOW=1 linenthread-simulation zones --schedules 1 --seed N`.
+//! A violation is printed with its schedule, which is the seed, and its fault. To repeat a schedule and print all
+//! tables: `SHOW=1 linenthread-simulation zones --schedules 1 --seed N`.
 //!
 //! Start reading at [`simulation`]: a step consists of traffic, reports, a decision, and the delivery of `tables`.
 
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -70,8 +70,8 @@
         drain_accepted
     }
 
-    /// Runs the schedule after the fault. All routes must be open again after the longest ejection and all return steps,
-    /// with twice that time plus 20 s allowed because of noise.
+    /// Runs the schedule after the fault. All routes must be open again after the longest ejection and all return
+    /// steps, with twice that time plus 20 s allowed because of noise.
     fn run_recovery(&mut self) {
         self.fault_is_active = false;
         self.drained.clear();
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -73,8 +73,8 @@
         .expect("the configuration is valid")
 }
 
-/// Places shards on a ring of replica groups: each shard is in `copies` consecutive groups, and consecutive groups are in
-/// different zones.
+/// Places shards on a ring of replica groups: each shard is in `copies` consecutive groups, and consecutive groups are
+/// in different zones.
 fn placements(zones: usize, groups: usize, copies: usize) -> Vec<Placement> {
     let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
     for shard in 0..groups {
