--- a/crates/linenthread-simulation/src/commands/failover.rs
+++ b/crates/linenthread-simulation/src/commands/failover.rs
@@ -29,5 +29,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(failover::run(options.seeds, options.seed))
+    outcome::report(failover::run(options.seeds, options.seed))
 }
--- a/crates/linenthread-simulation/src/commands/link.rs
+++ b/crates/linenthread-simulation/src/commands/link.rs
@@ -24,5 +24,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(options.run())
+    outcome::report(options.run())
 }
--- a/crates/linenthread-simulation/src/commands/link_bytes.rs
+++ b/crates/linenthread-simulation/src/commands/link_bytes.rs
@@ -52,7 +52,7 @@
         "{} succeeded, {} rejected, {} failed",
         verdict.succeeded, verdict.rejected, verdict.failed
     );
-    outcome::close(RunSummary {
+    outcome::report(RunSummary {
         checked: verdict.checked,
         violations: verdict.violations.len(),
     })
--- a/crates/linenthread-simulation/src/commands/link_speed.rs
+++ b/crates/linenthread-simulation/src/commands/link_speed.rs
@@ -27,5 +27,5 @@
 
 pub(super) fn run(options: &Options) -> ExitCode {
     let program = arguments::program_path(options.program.as_ref());
-    outcome::close(link_speed::run(&program))
+    outcome::report(link_speed::run(&program))
 }
--- a/crates/linenthread-simulation/src/commands/members.rs
+++ b/crates/linenthread-simulation/src/commands/members.rs
@@ -23,5 +23,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(members::run(options.seed))
+    outcome::report(members::run(options.seed))
 }
--- a/crates/linenthread-simulation/src/commands/merging_speed.rs
+++ b/crates/linenthread-simulation/src/commands/merging_speed.rs
@@ -25,5 +25,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(merging_speed::run(options.rounds))
+    outcome::report(merging_speed::run(options.rounds))
 }
--- a/crates/linenthread-simulation/src/commands/outcome.rs
+++ b/crates/linenthread-simulation/src/commands/outcome.rs
@@ -5,7 +5,7 @@
 use crate::run_summary::RunSummary;
 
 /// Prints the closing line and returns the exit code: failure if there were violations.
-pub(super) fn close(summary: RunSummary) -> ExitCode {
+pub(super) fn report(summary: RunSummary) -> ExitCode {
     let RunSummary {
         checked,
         violations,
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -62,7 +62,7 @@
     for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("violation: {violation}");
     }
-    outcome::close(RunSummary {
+    outcome::report(RunSummary {
         checked: report.queries,
         violations: report.violations.len(),
     })
@@ -92,5 +92,5 @@
         eprintln!("linenthread-simulation: there is no scenario {scenario}");
         return ExitCode::from(USAGE_ERROR);
     }
-    outcome::close(summary)
+    outcome::report(summary)
 }
--- a/crates/linenthread-simulation/src/commands/system.rs
+++ b/crates/linenthread-simulation/src/commands/system.rs
@@ -36,5 +36,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(system::run(options))
+    outcome::report(system::run(options))
 }
--- a/crates/linenthread-simulation/src/dataplane.rs
+++ b/crates/linenthread-simulation/src/dataplane.rs
@@ -80,15 +80,16 @@
 /// Runs all jobs and returns their outcomes in the same order.
 fn run_all(jobs: &[Job]) -> Vec<(Job, Outcome)> {
     let jobs_per_thread = jobs.len().div_ceil(THREADS).max(1);
-    let run_some = |some: &[Job]| -> Vec<(Job, Outcome)> {
-        some.iter()
+    let run_chunk = |chunk: &[Job]| -> Vec<(Job, Outcome)> {
+        chunk
+            .iter()
             .map(|&job| (job, simulate(job.seed, job.sessions)))
             .collect()
     };
     std::thread::scope(|scope| {
         let threads: Vec<_> = jobs
             .chunks(jobs_per_thread)
-            .map(|some| scope.spawn(move || run_some(some)))
+            .map(|chunk| scope.spawn(move || run_chunk(chunk)))
             .collect();
         threads
             .into_iter()
--- a/crates/linenthread-simulation/src/failover/coordinator.rs
+++ b/crates/linenthread-simulation/src/failover/coordinator.rs
@@ -12,7 +12,7 @@
 use super::decisions::Decisions;
 use super::event::AttemptIndex;
 use super::replica::{INITIAL_SPEED, WARM_UP};
-use super::{PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
+use super::{NODES_PER_ZONE, REPLICAS, SECOND, SOFT_DEADLINE, START, ZONES};
 use crate::number;
 
 /// The id of the first zone; the value is arbitrary.
@@ -43,7 +43,7 @@
 impl CoordinatorNode {
     pub(super) fn new(number: usize, seed: u64) -> CoordinatorNode {
         let zone = number % ZONES;
-        let module_seed = seed.wrapping_mul(31) + number::count(number);
+        let module_seed = seed.wrapping_mul(31) + number::to_u64(number);
         CoordinatorNode {
             zone,
             module: Coordinator::new(config(number), module_seed),
@@ -111,7 +111,7 @@
 /// Converts a row of the routing table to the module's input; without a row, all routes are open.
 pub(super) fn zone_routes(local: usize, row: Option<&Row>) -> Vec<ZoneRoute> {
     let route = |zone: usize| ZoneRoute {
-        id: FIRST_ZONE_ID + number::count(zone),
+        id: FIRST_ZONE_ID + number::to_u64(zone),
         distance: u8::from(zone != local),
         open_per_mille: row.map_or(ALL_KEYS, |row| row.routes[zone].share),
     };
@@ -131,7 +131,7 @@
     };
     CoordinatorConfig {
         coordinator_number: number,
-        coordinator_count: ZONES * PER_ZONE,
+        coordinator_count: ZONES * NODES_PER_ZONE,
         indexes: vec![index],
         customer_quotas: Vec::new(),
         over_quota_value: 0.1,
--- a/crates/linenthread-simulation/src/failover/faults.rs
+++ b/crates/linenthread-simulation/src/failover/faults.rs
@@ -72,7 +72,7 @@
     }
 
     /// Delivers a membership update to all coordinators.
-    pub(super) fn on_membership(&mut self, update: usize) {
+    pub(super) fn on_membership_update(&mut self, update: usize) {
         let members = &self.membership_updates[update];
         for node in &mut self.coordinators {
             let delta = MembershipUpdate::Delta(members.clone());
--- a/crates/linenthread-simulation/src/failover/mod.rs
+++ b/crates/linenthread-simulation/src/failover/mod.rs
@@ -38,8 +38,8 @@
 
 const ZONES: usize = 3;
 /// The number of coordinators, and of replicas, in each zone.
-const PER_ZONE: usize = 4;
-const REPLICAS: usize = ZONES * PER_ZONE;
+const NODES_PER_ZONE: usize = 4;
+const REPLICAS: usize = ZONES * NODES_PER_ZONE;
 const SHARDS: usize = 24;
 const SUB_REQUESTS_PER_QUERY: usize = 3;
 /// The simulated time at which a run starts.
@@ -57,12 +57,12 @@
 /// How far the served share of the shared controller may be below the best of the policies before it.
 const TOLERANCE: f64 = 0.01;
 /// The index of [`Policy::Shared`] in [`Policy::ALL`]. The policies before it don't know the true state either.
-const COMMON: usize = 3;
+const SHARED_POLICY_INDEX: usize = 3;
 
 /// Runs each policy under a fault with the same seeds.
 fn run_policies(fault: Fault, utilization: f64, seeds: usize, seed: u64) -> Vec<Runs> {
     let run = |policy: Policy| {
-        let seeds = seed..seed + number::count(seeds);
+        let seeds = seed..seed + number::to_u64(seeds);
         let runs = seeds.map(|seed| World::new(policy, fault, utilization, seed).run());
         Runs(runs.collect())
     };
@@ -85,9 +85,9 @@
         for fault in Fault::ALL {
             let runs = run_policies(fault, utilization, seeds, seed);
             print_line(fault, &runs);
-            let others = runs[..COMMON].iter().map(Runs::served_share);
+            let others = runs[..SHARED_POLICY_INDEX].iter().map(Runs::served_share);
             let best = others.fold(0.0, f64::max);
-            violations += usize::from(runs[COMMON].served_share() < best - TOLERANCE);
+            violations += usize::from(runs[SHARED_POLICY_INDEX].served_share() < best - TOLERANCE);
         }
     }
     RunSummary {
--- a/crates/linenthread-simulation/src/failover/policy.rs
+++ b/crates/linenthread-simulation/src/failover/policy.rs
@@ -6,23 +6,23 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Policy {
     /// No routes between zones: each coordinator selects replicas by its own measurements only.
-    SelectionAlone,
+    SelectionOnly,
     /// A fixed preference for the local zone.
-    FixedPreference,
+    LocalPreference,
     /// Each coordinator runs its own controller on its own observations.
-    EachAlone,
+    Independent,
     /// One controller decides for all coordinators, on the observations of all.
-    Common,
+    Shared,
     /// Routes are computed from the true state of zones and replicas.
     TrueState,
 }
 
 impl Policy {
     pub(super) const ALL: [Policy; 5] = [
-        Policy::SelectionAlone,
-        Policy::FixedPreference,
-        Policy::EachAlone,
-        Policy::Common,
+        Policy::SelectionOnly,
+        Policy::LocalPreference,
+        Policy::Independent,
+        Policy::Shared,
         Policy::TrueState,
     ];
 }
@@ -31,10 +31,10 @@
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.pad(match self {
-            Policy::SelectionAlone => "selection alone",
-            Policy::FixedPreference => "local, fixed",
-            Policy::EachAlone => "each alone",
-            Policy::Common => "in common",
+            Policy::SelectionOnly => "selection alone",
+            Policy::LocalPreference => "local, fixed",
+            Policy::Independent => "each alone",
+            Policy::Shared => "in common",
             Policy::TrueState => "true state",
         })
     }
--- a/crates/linenthread-simulation/src/failover/processing.rs
+++ b/crates/linenthread-simulation/src/failover/processing.rs
@@ -15,7 +15,7 @@
         if !self.replicas[replica].is_up {
             return self.respond(attempt, AttemptOutcome::ConnectFailed);
         }
-        self.attempts[attempt].queue_depth = number::small(self.replicas[replica].queue.len());
+        self.attempts[attempt].queue_depth = number::to_u32(self.replicas[replica].queue.len());
         self.replicas[replica].queue.push_back(attempt);
         let speed = self.speed(replica);
         if self.replicas[replica].fails_on_arrival(self.now, speed) {
@@ -42,7 +42,7 @@
                 attempt,
                 incarnation: self.replicas[replica].incarnation,
             };
-            self.schedule(number::time(duration), processed);
+            self.schedule(number::time_from_f64(duration), processed);
         }
     }
 
--- a/crates/linenthread-simulation/src/failover/replica.rs
+++ b/crates/linenthread-simulation/src/failover/replica.rs
@@ -56,10 +56,9 @@
     }
 
     /// Returns its speed as a fraction of a warm replica's.
-    pub(super) fn warmth(&self, now: TenthMillis) -> f64 {
+    pub(super) fn warm_up_speed(&self, now: TenthMillis) -> f64 {
         self.started_at.map_or(1.0, |started_at| {
-            let age =
-                number::float_of_time((now - started_at).max(0)) / number::float_of_time(WARM_UP);
+            let age = number::time_to_f64((now - started_at).max(0)) / number::time_to_f64(WARM_UP);
             (INITIAL_SPEED + (1.0 - INITIAL_SPEED) * age).min(1.0)
         })
     }
@@ -71,10 +70,10 @@
         while self.arrivals.front().is_some_and(|at| *at < now - SECOND) {
             self.arrivals.pop_front();
         }
-        let bearable = MAX_OVERLOAD * speed * number::float(CORES) / SERVICE_TIME
-            * number::float_of_time(SECOND);
+        let max_arrivals = MAX_OVERLOAD * speed * number::to_f64(CORES) / SERVICE_TIME
+            * number::time_to_f64(SECOND);
         let is_warming_up = self.started_at.is_some_and(|at| now - at < WARM_UP);
-        if !is_warming_up || number::float(self.arrivals.len()) <= bearable {
+        if !is_warming_up || number::to_f64(self.arrivals.len()) <= max_arrivals {
             self.overloaded_since = None;
             return false;
         }
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -8,14 +8,14 @@
 use super::topology::{controller, topology, zone_names};
 use super::world::World;
 use super::{
-    CORES, FAULT_START, PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY,
-    ZONES,
+    CORES, FAULT_START, NODES_PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, START,
+    SUB_REQUESTS_PER_QUERY, ZONES,
 };
 use crate::number;
 use crate::random;
 
 /// How long it takes to elect a new leader; meanwhile the shared controller makes no decisions.
-const LEADER_ELECTION: TenthMillis = 2 * SECOND;
+const LEADER_ELECTION_TIME: TenthMillis = 2 * SECOND;
 /// The fraction of a zone's true capacity that the true-state policy uses.
 const TRUE_STATE_MARGIN: f64 = 0.95;
 
@@ -25,9 +25,9 @@
         let topology = topology(&self.replicas);
         let report = self.collect_reports(&topology);
         let table = match self.policy {
-            Policy::Common => self.decide_in_common(&report, &topology),
-            Policy::TrueState => Some(self.true_table(&topology)),
-            Policy::SelectionAlone | Policy::FixedPreference | Policy::EachAlone => None,
+            Policy::Shared => self.decide_shared(&report, &topology),
+            Policy::TrueState => Some(self.table_from_true_state(&topology)),
+            Policy::SelectionOnly | Policy::LocalPreference | Policy::Independent => None,
         };
         if let Some(table) = table {
             self.distribute(&table);
@@ -41,8 +41,8 @@
         for index in 0..self.coordinators.len() {
             let node = &mut self.coordinators[index];
             let report = node.observer.report(&topology.replicas);
-            if self.policy == Policy::EachAlone {
-                self.decide_alone(index, &report, topology);
+            if self.policy == Policy::Independent {
+                self.decide_independently(index, &report, topology);
             }
             if !self.is_lost(self.coordinators[index].zone) {
                 sum.add(&report);
@@ -52,7 +52,7 @@
     }
 
     /// Lets a coordinator decide for itself, on its own report.
-    fn decide_alone(&mut self, index: usize, report: &Report, topology: &Topology) {
+    fn decide_independently(&mut self, index: usize, report: &Report, topology: &Topology) {
         let now = self.now;
         let node = &mut self.coordinators[index];
         let local = node.controller.get_or_insert_with(|| controller(now));
@@ -64,9 +64,9 @@
     }
 
     /// Lets the leader decide on the reports of all coordinators. While there is no leader, the reports accumulate.
-    fn decide_in_common(&mut self, report: &Report, topology: &Topology) -> Option<RoutingTable> {
+    fn decide_shared(&mut self, report: &Report, topology: &Topology) -> Option<RoutingTable> {
         self.pending_report.add(report);
-        let elected_at = START + FAULT_START + LEADER_ELECTION;
+        let elected_at = START + FAULT_START + LEADER_ELECTION_TIME;
         let has_no_leader =
             self.fault_is_active && self.fault.loses_leader() && self.now < elected_at;
         if has_no_leader {
@@ -78,7 +78,7 @@
     }
 
     /// Computes a table from the true state: which zones work, and how fast.
-    fn true_table(&self, topology: &Topology) -> RoutingTable {
+    fn table_from_true_state(&self, topology: &Topology) -> RoutingTable {
         let mut table = RoutingTable::open(zone_names());
         for (from, row) in table.rows.iter_mut().enumerate() {
             for (to, route) in row.routes.iter_mut().enumerate() {
@@ -88,8 +88,9 @@
             }
         }
         if self.fault_is_active || self.fault_is_over {
-            let demand =
-                self.query_rate * number::float(SUB_REQUESTS_PER_QUERY) * number::float(PER_ZONE);
+            let demand = self.query_rate
+                * number::to_f64(SUB_REQUESTS_PER_QUERY)
+                * number::to_f64(NODES_PER_ZONE);
             let demand = vec![demand; ZONES];
             let capacity: Vec<f64> = (0..ZONES).map(|zone| self.true_capacity(zone)).collect();
             limit_to_capacity(topology, &demand, &capacity, &mut table.rows);
@@ -104,15 +105,15 @@
         let running = of_zone.filter(|index| self.replicas[*index].is_up);
         running
             .map(|index| {
-                TRUE_STATE_MARGIN * self.speed(index) * number::float(CORES) / SERVICE_TIME
+                TRUE_STATE_MARGIN * self.speed(index) * number::to_f64(CORES) / SERVICE_TIME
             })
             .sum()
     }
 
     /// Sends a table to all coordinators.
     fn distribute(&mut self, table: &RoutingTable) {
-        let closes = table.routes().any(|route| route.share == 0);
-        if closes && self.fault_is_active && self.totals.reaction_time.is_none() {
+        let closes_route = table.routes().any(|route| route.share == 0);
+        if closes_route && self.fault_is_active && self.totals.reaction_time.is_none() {
             self.totals.reaction_time = Some(self.now - START - FAULT_START);
         }
         for node in &mut self.coordinators {
--- a/crates/linenthread-simulation/src/failover/simulation.rs
+++ b/crates/linenthread-simulation/src/failover/simulation.rs
@@ -65,7 +65,7 @@
                 replica,
                 outcome,
             } => self.on_health_checked(coordinator, replica, outcome),
-            Event::Membership { update } => self.on_membership(update),
+            Event::Membership { update } => self.on_membership_update(update),
         }
     }
 }
--- a/crates/linenthread-simulation/src/failover/statistics.rs
+++ b/crates/linenthread-simulation/src/failover/statistics.rs
@@ -2,7 +2,7 @@
 
 use linenthread_core::interface::TenthMillis;
 
-use super::COMMON;
+use super::SHARED_POLICY_INDEX;
 use super::fault::Fault;
 use super::policy::Policy;
 use crate::number;
@@ -16,7 +16,7 @@
     pub(super) served: f64,
     pub(super) attempts: f64,
     /// The number of those attempts that went to another zone.
-    pub(super) crossing: f64,
+    pub(super) cross_zone_attempts: f64,
     /// Replicas that failed from overload while they warmed up.
     pub(super) failed_replicas: u32,
     /// The time from the fault's start to the first table that closes a route.
@@ -37,8 +37,8 @@
     }
 
     /// Returns the share of attempts that went to another zone.
-    fn crossing_share(&self) -> f64 {
-        self.sum(|t| t.crossing) / self.sum(|t| t.attempts).max(1.0)
+    fn cross_zone_share(&self) -> f64 {
+        self.sum(|t| t.cross_zone_attempts) / self.sum(|t| t.attempts).max(1.0)
     }
 
     /// Formats a cell of the table.
@@ -46,7 +46,7 @@
         format!(
             "{:.3} {:.2} {}",
             self.served_share(),
-            self.crossing_share(),
+            self.cross_zone_share(),
             self.sum(|t| f64::from(t.failed_replicas))
         )
     }
@@ -73,7 +73,7 @@
         .iter()
         .map(|runs| format!("{:>20}", runs.summary()))
         .collect();
-    let reaction = runs[COMMON].median_reaction();
+    let reaction = runs[SHARED_POLICY_INDEX].median_reaction();
     let reaction = reaction.map_or("-".into(), |time| format!("{:.1} s", number::seconds(time)));
     println!("{fault:10} {}  {reaction}", cells.join(" "));
 }
--- a/crates/linenthread-simulation/src/failover/topology.rs
+++ b/crates/linenthread-simulation/src/failover/topology.rs
@@ -37,7 +37,7 @@
         for copy in 0..REPLICATION_FACTOR {
             replicas[(shard + copy) % REPLICAS % ZONES] += 1;
         }
-        *shares.entry(replicas).or_default() += 1.0 / number::float(SHARDS);
+        *shares.entry(replicas).or_default() += 1.0 / number::to_f64(SHARDS);
     }
     let zone = |name: String| Zone {
         name,
--- a/crates/linenthread-simulation/src/failover/traffic.rs
+++ b/crates/linenthread-simulation/src/failover/traffic.rs
@@ -30,7 +30,7 @@
     /// Schedules the next query at a coordinator, after an exponentially distributed wait.
     pub(super) fn schedule_query(&mut self, coordinator: usize) {
         let wait = -(1.0 - self.rng.rand_float()).ln() / self.query_rate;
-        self.schedule(number::time(wait), Event::Query { coordinator });
+        self.schedule(number::time_from_f64(wait), Event::Query { coordinator });
     }
 
     /// Submits a client's query to a coordinator and schedules the next one.
@@ -60,7 +60,7 @@
         let sub_request = |n: usize| NewSubRequest {
             query,
             shard: (first_shard + SHARD_STRIDE * n) % SHARDS,
-            weight: 1.0 / number::float(SUB_REQUESTS_PER_QUERY),
+            weight: 1.0 / number::to_f64(SUB_REQUESTS_PER_QUERY),
         };
         let sub_requests = (0..SUB_REQUESTS_PER_QUERY).map(sub_request);
         node.inputs.sub_requests.extend(sub_requests);
@@ -123,7 +123,7 @@
         });
         self.totals.attempts += 1.0;
         if node.zone != sent.replica % ZONES {
-            self.totals.crossing += 1.0;
+            self.totals.cross_zone_attempts += 1.0;
         }
         self.schedule(sent.timeout, Event::TimeOut { attempt });
         if !self.is_unreachable(coordinator, sent.replica) {
@@ -136,11 +136,11 @@
         let Some(query) = self.coordinators[coordinator].query(cancelled.query) else {
             return;
         };
-        let is_it = |index: &&AttemptIndex| {
+        let is_cancelled = |index: &&AttemptIndex| {
             let attempt = &self.attempts[**index];
             attempt.sub_request == cancelled.sub_request && attempt.number == cancelled.number
         };
-        if let Some(&attempt) = query.attempts.iter().find(is_it) {
+        if let Some(&attempt) = query.attempts.iter().find(is_cancelled) {
             self.end_attempt(attempt, AttemptOutcome::Cancelled);
         }
     }
@@ -190,7 +190,7 @@
         replica: usize,
         outcome: AttemptOutcome,
     ) {
-        let queue_depth = number::float(self.replicas[replica].queue.len());
+        let queue_depth = number::to_f64(self.replicas[replica].queue.len());
         let node = &mut self.coordinators[coordinator];
         let zone = number::zone_index(replica % ZONES);
         node.observer
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -14,7 +14,7 @@
 use super::replica::Replica;
 use super::statistics::Totals;
 use super::topology;
-use super::{CORES, PER_ZONE, REPLICAS, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY, ZONES};
+use super::{CORES, NODES_PER_ZONE, REPLICAS, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY, ZONES};
 use crate::event_queue::EventQueue;
 use crate::number;
 
@@ -64,11 +64,11 @@
 impl World {
     /// Creates the state before the first query.
     pub(super) fn new(policy: Policy, fault: Fault, utilization: f64, seed: u64) -> World {
-        let capacity = number::float(REPLICAS) * number::float(CORES) / SERVICE_TIME;
-        let coordinators = ZONES * PER_ZONE;
+        let capacity = number::to_f64(REPLICAS) * number::to_f64(CORES) / SERVICE_TIME;
+        let coordinators = ZONES * NODES_PER_ZONE;
         let query_rate = capacity * utilization
-            / number::float(SUB_REQUESTS_PER_QUERY)
-            / number::float(coordinators);
+            / number::to_f64(SUB_REQUESTS_PER_QUERY)
+            / number::to_f64(coordinators);
         let mut world = World {
             now: START,
             policy,
@@ -94,7 +94,7 @@
         for node in &mut world.coordinators {
             let snapshot = MembershipUpdate::Snapshot(members.clone());
             node.inputs.membership.push(snapshot);
-            if policy != Policy::SelectionAlone {
+            if policy != Policy::SelectionOnly {
                 node.inputs.zone_routes = Some(zone_routes(node.zone, None));
             }
         }
@@ -104,7 +104,7 @@
     pub(super) fn membership_entry(&self, replica: usize, phase: Phase) -> MembershipEntry {
         MembershipEntry {
             replica: ReplicaIndex(replica),
-            id: FIRST_REPLICA_ID + number::count(replica),
+            id: FIRST_REPLICA_ID + number::to_u64(replica),
             replica_group: replica,
             zone: replica % ZONES,
             phase,
@@ -146,6 +146,6 @@
     pub(super) fn speed(&self, replica: usize) -> f64 {
         let is_slow = self.fault_is_active && self.fault.slows(replica % ZONES);
         let slowdown = if is_slow { SLOWDOWN } else { 1.0 };
-        self.replicas[replica].warmth(self.now) / slowdown
+        self.replicas[replica].warm_up_speed(self.now) / slowdown
     }
 }
--- a/crates/linenthread-simulation/src/fleet/connections.rs
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -5,7 +5,7 @@
 
 use super::SECOND;
 use super::event::{Event, LinkNumber, ProcessIndex, Side};
-use super::network::{End, Sides};
+use super::network::{LinkEnd, Sides};
 use super::world::World;
 
 /// The time after which a connection attempt across a partition fails.
@@ -24,7 +24,7 @@
         let is_partitioned =
             self.network.is_partitioned(from, to) || self.network.is_partitioned(to, from);
         let both_run = self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
-        let connecting = End {
+        let connecting = LinkEnd {
             process: from,
             connection,
         };
@@ -37,7 +37,7 @@
             REFUSE_LATENCY
         };
         let link = self.events.next_number();
-        let accepting = End {
+        let accepting = LinkEnd {
             process: to,
             connection: ConnectionId(0),
         };
@@ -51,7 +51,7 @@
     }
 
     /// Offers a connection to a process, and reports whether it was accepted.
-    fn accept(&mut self, connecting: End, to: ProcessIndex) -> bool {
+    fn accept(&mut self, connecting: LinkEnd, to: ProcessIndex) -> bool {
         let link = self.events.next_number();
         let process = &mut self.processes[to];
         let now = process.local_time(self.now);
@@ -63,7 +63,7 @@
             return false;
         };
         // The link must exist before the actions send anything over it.
-        let accepting = End {
+        let accepting = LinkEnd {
             process: to,
             connection,
         };
@@ -79,7 +79,7 @@
     /// Delivers bytes to a side of a link.
     pub(super) fn on_bytes(&mut self, link: LinkNumber, side: Side, bytes: &[u8]) {
         if let Some(end) = self.network.current_end(link, side) {
-            self.call(end.process, |fleet, now, actions| {
+            self.call_process(end.process, |fleet, now, actions| {
                 fleet.on_received(now, end.connection, bytes, actions);
             });
         }
@@ -88,12 +88,12 @@
     /// Notifies a side of a link that the connection is closed.
     pub(super) fn on_closed(&mut self, link: LinkNumber, side: Side) {
         if let Some(end) = self.network.current_end(link, side) {
-            self.network.forget(end);
-            self.call(end.process, |fleet, now, actions| {
+            self.network.remove_end(end);
+            self.call_process(end.process, |fleet, now, actions| {
                 fleet.on_closed(now, end.connection, actions);
             });
         }
-        self.network.remove_if_over(link);
+        self.network.remove_if_closed(link);
     }
 
     /// Closes a link for a process. The other side is notified, unless a partition prevents it.
@@ -105,9 +105,9 @@
     }
 
     /// Sends bytes on a connection of a process.
-    pub(super) fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
-        let from = End {
-            process: at,
+    pub(super) fn send(&mut self, index: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
+        let from = LinkEnd {
+            process: index,
             connection,
         };
         let Some(link) = self.network.link_at(from) else {
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -12,26 +12,26 @@
 
 impl World {
     /// Reports whether a process is the leader and is not paused.
-    pub(super) fn is_running_leader(&self, at: ProcessIndex) -> bool {
-        let process = &self.processes[at];
+    pub(super) fn is_running_leader(&self, index: ProcessIndex) -> bool {
+        let process = &self.processes[index];
         !process.is_paused && process.is_leader(self.now)
     }
 
     /// Checks *one-leader* and *new-disk-new-identity*; called after each call of a process.
-    pub(super) fn check(&mut self, at: ProcessIndex) {
+    pub(super) fn check_process(&mut self, index: ProcessIndex) {
         let leaders: Vec<String> = (0..self.voters)
-            .filter(|&at| self.is_running_leader(at))
+            .filter(|&index| self.is_running_leader(index))
             .map(name)
             .collect();
         if leaders.len() > 1 {
-            self.violated(Invariant::OneLeader, &leaders.join(" and "));
+            self.record_violation(Invariant::OneLeader, &leaders.join(" and "));
         }
-        let former = self.processes[at].former_incarnation;
-        let incarnation = self.processes[at].incarnation();
+        let former = self.processes[index].former_incarnation;
+        let incarnation = self.processes[index].incarnation();
         if former.is_some() && incarnation == former {
-            self.violated(
+            self.record_violation(
                 Invariant::NewDiskNewIdentity,
-                &format!("{} is {incarnation:?} again", name(at)),
+                &format!("{} is {incarnation:?} again", name(index)),
             );
         }
     }
@@ -46,21 +46,25 @@
         if leaders != 1 {
             return Some(format!("{leaders} leaders"));
         }
-        (0..self.processes.len()).find_map(|at| self.why_process_incomplete(at))
+        (0..self.processes.len()).find_map(|index| self.why_process_incomplete(index))
     }
 
-    fn why_process_incomplete(&self, at: ProcessIndex) -> Option<String> {
-        let Some(fleet) = &self.processes[at].fleet else {
-            return Some(format!("{} does not run", name(at)));
+    fn why_process_incomplete(&self, index: ProcessIndex) -> Option<String> {
+        let Some(fleet) = &self.processes[index].fleet else {
+            return Some(format!("{} does not run", name(index)));
         };
-        if at < self.voters && !fleet.voter().is_some_and(Voter::votes) {
-            return Some(format!("{} does not vote: {:?}", name(at), fleet.stage()));
+        if index < self.voters && !fleet.voter().is_some_and(Voter::votes) {
+            return Some(format!(
+                "{} does not vote: {:?}",
+                name(index),
+                fleet.stage()
+            ));
         }
-        self.unknown_members(at, fleet)
-            .or_else(|| self.outdated_topic(at, fleet))
+        self.unknown_members(index, fleet)
+            .or_else(|| self.outdated_topic(index, fleet))
     }
 
-    fn unknown_members(&self, at: ProcessIndex, fleet: &Fleet<Disk>) -> Option<String> {
+    fn unknown_members(&self, index: ProcessIndex, fleet: &Fleet<Disk>) -> Option<String> {
         let count = self.processes.len();
         let known: BTreeSet<&str> = fleet.alive().map(|member| member.name.as_str()).collect();
         let others = fleet.alive().count();
@@ -68,15 +72,18 @@
             return None;
         }
         let unknown: Vec<String> = (0..count)
-            .filter(|other| *other != at)
+            .filter(|other| *other != index)
             .map(name)
             .filter(|other| !known.contains(other.as_str()))
             .collect();
         let unknown = unknown.join(" ");
-        Some(format!("{} knows {others} others, not {unknown}", name(at)))
+        Some(format!(
+            "{} knows {others} others, not {unknown}",
+            name(index)
+        ))
     }
 
-    fn outdated_topic(&self, at: ProcessIndex, fleet: &Fleet<Disk>) -> Option<String> {
+    fn outdated_topic(&self, index: ProcessIndex, fleet: &Fleet<Disk>) -> Option<String> {
         let newest = |topic: &str| {
             let keys = self.committed.keys();
             let numbers = keys.filter(|(known, _)| known == topic);
@@ -86,6 +93,6 @@
         let is_outdated = |topic: &str| fleet.table().number(topic) + 2 < newest(topic);
         let topic = TOPICS.into_iter().find(|topic| is_outdated(topic))?;
         let (number, newest) = (fleet.table().number(topic), newest(topic));
-        Some(format!("{} has {topic} {number} of {newest}", name(at)))
+        Some(format!("{} has {topic} {number} of {newest}", name(index)))
     }
 }
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -69,7 +69,7 @@
 impl Options {
     /// Runs all schedules and prints a summary of them.
     pub(crate) fn run(&self) -> RunSummary {
-        let seeds = self.seed..self.seed + number::count(self.schedules);
+        let seeds = self.seed..self.seed + number::to_u64(self.schedules);
         let outcomes = schedules::run_all(seeds, |seed| World::new(seed).run());
         let mut violations: Vec<&String> = outcomes.iter().flat_map(|o| &o.violations).collect();
         violations.sort_unstable();
--- a/crates/linenthread-simulation/src/fleet/network.rs
+++ b/crates/linenthread-simulation/src/fleet/network.rs
@@ -12,7 +12,7 @@
 
 /// An end of a link: a process and its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct End {
+pub(super) struct LinkEnd {
     pub(super) process: ProcessIndex,
     /// The connection's id at the process.
     pub(super) connection: ConnectionId,
@@ -61,29 +61,29 @@
 
 /// A connection between two processes. Bytes arrive in the order in which they were sent.
 pub(super) struct Link {
-    pub(super) ends: Sides<End>,
+    pub(super) ends: Sides<LinkEnd>,
     /// The arrival time of the last bytes that each side sent.
     last_arrival: Sides<TenthMillis>,
     /// Whether everything that a side sends is lost, because it has sent bytes into a partition.
-    is_dead: Sides<bool>,
+    is_broken: Sides<bool>,
     is_open: bool,
 }
 
 impl Link {
     /// Creates a link that is open at both processes.
-    fn open(ends: Sides<End>) -> Link {
+    fn open(ends: Sides<LinkEnd>) -> Link {
         Link {
             ends,
             last_arrival: Sides::both(0),
-            is_dead: Sides::both(false),
+            is_broken: Sides::both(false),
             is_open: true,
         }
     }
 
     /// Creates the link of a connection that could not be opened.
-    fn refused(ends: Sides<End>) -> Link {
+    fn refused(ends: Sides<LinkEnd>) -> Link {
         Link {
-            is_dead: Sides::both(true),
+            is_broken: Sides::both(true),
             is_open: false,
             ..Link::open(ends)
         }
@@ -104,7 +104,7 @@
 pub(super) struct Network {
     links: BTreeMap<LinkNumber, Link>,
     /// The link of each connection that a process has not closed.
-    by_end: BTreeMap<End, LinkNumber>,
+    by_end: BTreeMap<LinkEnd, LinkNumber>,
     /// The directed pairs of processes between which nothing arrives.
     pub(super) partitions: BTreeSet<(ProcessIndex, ProcessIndex)>,
     /// The probability that a datagram is lost.
@@ -130,7 +130,7 @@
     }
 
     /// Adds a connection that is open at both sides.
-    pub(super) fn add_link(&mut self, number: LinkNumber, ends: Sides<End>) {
+    pub(super) fn add_link(&mut self, number: LinkNumber, ends: Sides<LinkEnd>) {
         for end in ends.as_array() {
             self.by_end.insert(*end, number);
         }
@@ -138,7 +138,7 @@
     }
 
     /// Adds a connection that could not be opened and that only the connecting side knows.
-    pub(super) fn add_refused(&mut self, number: LinkNumber, ends: Sides<End>) {
+    pub(super) fn add_refused(&mut self, number: LinkNumber, ends: Sides<LinkEnd>) {
         self.by_end.insert(ends.connecting, number);
         self.links.insert(number, Link::refused(ends));
     }
@@ -148,12 +148,12 @@
     }
 
     /// Returns the link of a process's connection.
-    pub(super) fn link_at(&self, end: End) -> Option<LinkNumber> {
+    pub(super) fn link_at(&self, end: LinkEnd) -> Option<LinkNumber> {
         self.by_end.get(&end).copied()
     }
 
     /// Returns the end at a side of a link, if the process there has not closed the connection.
-    pub(super) fn current_end(&self, number: LinkNumber, side: Side) -> Option<End> {
+    pub(super) fn current_end(&self, number: LinkNumber, side: Side) -> Option<LinkEnd> {
         let end = self.link(number)?.ends[side];
         (self.link_at(end) == Some(number)).then_some(end)
     }
@@ -173,7 +173,7 @@
     pub(super) fn send(
         &mut self,
         number: LinkNumber,
-        from: End,
+        from: LinkEnd,
         now: TenthMillis,
         latency: TenthMillis,
     ) -> Option<(TenthMillis, Side)> {
@@ -185,8 +185,8 @@
         };
         let other = side.other();
         let pair = (from.process, link.ends[other].process);
-        link.is_dead[side] |= self.partitions.contains(&pair);
-        if link.is_dead[side] {
+        link.is_broken[side] |= self.partitions.contains(&pair);
+        if link.is_broken[side] {
             return None;
         }
         let arrival = (now + latency).max(link.last_arrival[side] + 1);
@@ -205,16 +205,16 @@
     }
 
     /// Removes the end of a process that has been notified that its connection is closed.
-    pub(super) fn forget(&mut self, end: End) {
+    pub(super) fn remove_end(&mut self, end: LinkEnd) {
         self.by_end.remove(&end);
     }
 
     /// Removes a link that is closed and has no end left.
-    pub(super) fn remove_if_over(&mut self, number: LinkNumber) {
+    pub(super) fn remove_if_closed(&mut self, number: LinkNumber) {
         let Some(link) = self.links.get(&number) else {
             return;
         };
-        let has_end = |end: &End| self.by_end.get(end) == Some(&number);
+        let has_end = |end: &LinkEnd| self.by_end.get(end) == Some(&number);
         if !link.is_open && !link.ends.as_array().into_iter().any(has_end) {
             self.links.remove(&number);
         }
--- a/crates/linenthread-simulation/src/fleet/process.rs
+++ b/crates/linenthread-simulation/src/fleet/process.rs
@@ -91,12 +91,14 @@
 
     /// Converts simulated time to the time of its own clock.
     pub(super) fn local_time(&self, now: TenthMillis) -> TenthMillis {
-        self.clock_offset + number::time(number::float_of_time(now) * self.clock_rate)
+        self.clock_offset + number::time_from_f64(number::time_to_f64(now) * self.clock_rate)
     }
 
     /// Returns the first simulated time at which its own clock has reached `local`.
     pub(super) fn global_time(&self, local: TenthMillis) -> TenthMillis {
-        number::time((number::float_of_time(local - self.clock_offset) / self.clock_rate).ceil())
+        number::time_from_f64(
+            (number::time_to_f64(local - self.clock_offset) / self.clock_rate).ceil(),
+        )
     }
 
     /// Counts a start and returns the configuration for it.
@@ -120,7 +122,7 @@
         FleetConfig {
             local,
             voters: (0..voters).map(peer_address).collect(),
-            expected_members: number::small(processes),
+            expected_members: number::to_u32(processes),
             probe_interval: PROBE_INTERVAL,
             secrets: secrets(),
             seed,
--- a/crates/linenthread-simulation/src/fleet/recovery.rs
+++ b/crates/linenthread-simulation/src/fleet/recovery.rs
@@ -12,24 +12,24 @@
         self.network.heal();
         self.events
             .retain(|event| !matches!(event, Event::Fault | Event::Heal | Event::Restart));
-        for at in 0..self.processes.len() {
-            let mut disk = self.processes[at].disk.borrow_mut();
+        for index in 0..self.processes.len() {
+            let mut disk = self.processes[index].disk.borrow_mut();
             (disk.capacity, disk.syncs_until_failure) = (None, None);
             drop(disk);
-            self.resume(at);
-            let fleet = self.processes[at].fleet.as_ref();
+            self.resume(index);
+            let fleet = self.processes[index].fleet.as_ref();
             if fleet.is_some_and(Fleet::is_stopped) {
-                self.reopen_voter(at);
+                self.reopen_voter(index);
             }
-            self.start(at);
+            self.start(index);
         }
     }
 
     /// Reopens a voter from its disk, as the program does when the disk works again.
-    fn reopen_voter(&mut self, at: ProcessIndex) {
-        let disk = self.processes[at].disk.clone();
+    fn reopen_voter(&mut self, index: ProcessIndex) {
+        let disk = self.processes[index].disk.clone();
         disk.borrow_mut().crash(&mut self.rng);
-        self.call(at, |fleet, now, actions| {
+        self.call_process(index, |fleet, now, actions| {
             let opened = fleet.open_voter(disk, now, actions);
             opened.expect("the disk is intact");
         });
--- a/crates/linenthread-simulation/src/fleet/simulation.rs
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -14,9 +14,9 @@
 impl World {
     /// Runs the schedule and returns its outcome.
     pub(super) fn run(mut self) -> Outcome {
-        for at in 0..self.processes.len() {
+        for index in 0..self.processes.len() {
             let wait = self.random_time(0..20_000);
-            self.schedule(wait, Event::Start(at));
+            self.schedule(wait, Event::Start(index));
         }
         self.schedule(SECOND, Event::Propose);
         // Faults may be injected even while the fleet is being bootstrapped.
@@ -26,7 +26,7 @@
         self.end_faults();
         self.run_recovery();
         if self.proposals > 0 && self.committed.is_empty() {
-            self.violated(Invariant::Commits, "no value was ever committed");
+            self.record_violation(Invariant::Commits, "no value was ever committed");
         }
         Outcome {
             violations: self.violations,
@@ -50,7 +50,7 @@
             let cause = self.why_incomplete();
             let cause = cause.unwrap_or_else(|| "it does not last".into());
             let seconds = RECOVERY_TIME / SECOND;
-            self.violated(
+            self.record_violation(
                 Invariant::Recovers,
                 &format!("not complete {seconds} s after all faults ended: {cause}"),
             );
@@ -83,15 +83,15 @@
     /// Handles an event, or keeps it for later if the receiving process is paused.
     pub(super) fn handle(&mut self, event: Event) {
         let receiver = self.receiver(&event);
-        if let Some(at) = receiver.filter(|at| self.processes[*at].is_paused) {
-            self.processes[at].waiting.push(event);
+        if let Some(index) = receiver.filter(|index| self.processes[*index].is_paused) {
+            self.processes[index].waiting.push(event);
             return;
         }
         match event {
-            Event::Wake(at, timer) => {
-                if self.processes[at].timer == timer {
-                    self.processes[at].wake_at = TenthMillis::MAX;
-                    self.call(at, Fleet::wake);
+            Event::Wake(index, timer) => {
+                if self.processes[index].timer == timer {
+                    self.processes[index].wake_at = TenthMillis::MAX;
+                    self.call_process(index, Fleet::wake);
                 }
             }
             Event::Connect {
@@ -102,12 +102,12 @@
             Event::Bytes { link, side, bytes } => self.on_bytes(link, side, &bytes),
             Event::Closed { link, side } => self.on_closed(link, side),
             Event::Datagram { to, bytes } => {
-                self.call(to, |fleet, now, actions| {
+                self.call_process(to, |fleet, now, actions| {
                     fleet.on_datagram(now, &bytes, actions);
                 });
             }
-            Event::Start(at) => self.start(at),
-            Event::Resume(at) => self.resume(at),
+            Event::Start(index) => self.start(index),
+            Event::Resume(index) => self.resume(index),
             Event::Restart => self.restart_random(),
             Event::Heal => self.network.partitions.clear(),
             Event::Fault => self.inject_fault(),
--- a/crates/linenthread-simulation/src/fleet/statistics.rs
+++ b/crates/linenthread-simulation/src/fleet/statistics.rs
@@ -13,7 +13,7 @@
     /// How often a process became the leader.
     pub(super) leaders: u64,
     /// The number of identities that were replaced because a disk was lost.
-    pub(super) replaced: u64,
+    pub(super) replaced_identities: u64,
     /// The time from the end of all faults until the fleet had been complete for [`STABLE_TIME`].
     pub(super) recovered_after: TenthMillis,
 }
@@ -32,7 +32,7 @@
          the median, {:.1} s at the 99th percentile",
         sum(|totals| totals.committed),
         sum(|totals| totals.leaders),
-        sum(|totals| totals.replaced),
+        sum(|totals| totals.replaced_identities),
         percentile(50),
         percentile(99),
     );
--- a/crates/linenthread-simulation/src/fleet/traffic.rs
+++ b/crates/linenthread-simulation/src/fleet/traffic.rs
@@ -15,15 +15,15 @@
 impl World {
     /// Makes each leader propose a value. There is at most one leader unless *one-leader* is violated.
     pub(super) fn propose(&mut self) {
-        for at in 0..self.voters {
-            if !self.is_running_leader(at) {
+        for index in 0..self.voters {
+            if !self.is_running_leader(index) {
                 continue;
             }
             self.proposals += 1;
-            let topic = TOPICS[number::index(self.proposals) % TOPICS.len()];
+            let topic = TOPICS[number::to_usize(self.proposals) % TOPICS.len()];
             let mut value = self.proposals.to_be_bytes().to_vec();
             value.resize(8 + random::index(&mut self.rng, 200), 7);
-            self.call(at, |fleet, now, actions| {
+            self.call_process(index, |fleet, now, actions| {
                 let write = ConditionalWrite {
                     topic: topic.to_owned(),
                     expected_number: fleet.table().number(topic),
@@ -38,7 +38,7 @@
     }
 
     /// Records a value that a process reports as committed. Checks *one-value-per-number*.
-    pub(super) fn on_committed(&mut self, at: ProcessIndex, committed: CommittedValue) {
+    pub(super) fn on_committed(&mut self, index: ProcessIndex, committed: CommittedValue) {
         let CommittedValue {
             topic,
             number,
@@ -51,9 +51,9 @@
         if *known == value {
             self.totals.committed += 1;
         } else {
-            self.violated(
+            self.record_violation(
                 Invariant::OneValuePerNumber,
-                &format!("{topic} {number} has two values, at {}", name(at)),
+                &format!("{topic} {number} has two values, at {}", name(index)),
             );
         }
     }
--- a/crates/linenthread-simulation/src/fleet/world.rs
+++ b/crates/linenthread-simulation/src/fleet/world.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records a violation.
-    pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
+    pub(super) fn record_violation(&mut self, invariant: Invariant, details: &str) {
         let seconds = number::seconds(self.now);
         let schedule = self.seed;
         self.violations.push(format!(
@@ -87,7 +87,7 @@
     /// Returns the process that an event arrives at; `None` if there is none or its link no longer exists.
     pub(super) fn receiver(&self, event: &Event) -> Option<ProcessIndex> {
         match event {
-            Event::Wake(at, _) => Some(*at),
+            Event::Wake(index, _) => Some(*index),
             Event::Connect { to, .. } | Event::Datagram { to, .. } => Some(*to),
             Event::Bytes { link, side, .. } | Event::Closed { link, side } => {
                 let link = self.network.link(*link)?;
--- a/crates/linenthread-simulation/src/link/call_record.rs
+++ b/crates/linenthread-simulation/src/link/call_record.rs
@@ -3,7 +3,7 @@
 use linenthread_core::interface::{AttemptOutcome, TenthMillis};
 
 use super::invariant::{Invariant, Violation};
-use super::{FAULTS, MILLISECOND, RECOVERY, START};
+use super::{FAULT_DURATION, MILLISECOND, RECOVERY_TIME, START};
 
 /// A call with a longer deadline than this must be answered once the link has recovered. The time is sufficient for the
 /// round trip, the queue ahead of the call and its execution.
@@ -21,7 +21,7 @@
 impl CallRecord {
     /// Returns the violation of an invariant by this call at the end of the schedule, if there is one.
     pub(super) fn violation(&self, call: u64) -> Option<Violation> {
-        let has_recovered = self.made_at > START + FAULTS + RECOVERY;
+        let has_recovered = self.made_at > START + FAULT_DURATION + RECOVERY_TIME;
         let had_time = self.deadline - self.made_at > SUFFICIENT_TIME;
         match self.outcome {
             None => Some(Violation::new(
--- a/crates/linenthread-simulation/src/link/execution.rs
+++ b/crates/linenthread-simulation/src/link/execution.rs
@@ -9,12 +9,12 @@
 
 impl World {
     /// Performs the client's actions and sets its timer.
-    pub(super) fn perform_client(&mut self, actions: Vec<ClientAction>) {
+    pub(super) fn perform_client_actions(&mut self, actions: Vec<ClientAction>) {
         for action in actions {
             match action {
                 ClientAction::Connect => self.connect(),
-                ClientAction::Close(reason) => self.close(&reason),
-                ClientAction::Send(frame) => self.write(frame),
+                ClientAction::Close(reason) => self.close_connection(&reason),
+                ClientAction::Send(frame) => self.schedule_write(frame),
                 ClientAction::CallCompleted {
                     id, outcome, value, ..
                 } => self.on_completed(id, outcome, &value),
@@ -30,7 +30,7 @@
     }
 
     /// Performs the server's actions and sets its timer.
-    pub(super) fn perform_server(&mut self, actions: Vec<ServerAction>) {
+    pub(super) fn perform_server_actions(&mut self, actions: Vec<ServerAction>) {
         for action in actions {
             match action {
                 ServerAction::Send { connection, frame } => {
--- a/crates/linenthread-simulation/src/link/fault.rs
+++ b/crates/linenthread-simulation/src/link/fault.rs
@@ -22,7 +22,7 @@
 
 impl Fault {
     /// Returns the fault for a drawn number below [`FAULT_KINDS`].
-    pub(super) fn drawn(number: TenthMillis) -> Fault {
+    pub(super) fn from_draw(number: TenthMillis) -> Fault {
         match number {
             0 | 1 => Fault::Disconnect,
             2..=4 => Fault::SilentLoss {
--- a/crates/linenthread-simulation/src/link/faults.rs
+++ b/crates/linenthread-simulation/src/link/faults.rs
@@ -6,19 +6,19 @@
 use super::event::Event;
 use super::fault::{FAULT_KINDS, Fault};
 use super::world::World;
-use super::{FAULTS, MILLISECOND, START};
+use super::{FAULT_DURATION, MILLISECOND, START};
 
 impl World {
     /// Injects a random fault and schedules the next one. After [`FAULT_DURATION`], stops slow and duplicate frames
     /// instead.
     pub(super) fn inject_fault(&mut self) {
-        if self.now > START + FAULTS {
+        if self.now > START + FAULT_DURATION {
             (self.slow_probability, self.duplicate_probability) = (0.0, 0.0);
             return;
         }
         let after = 20 * MILLISECOND + self.draw_below(700 * MILLISECOND);
         self.schedule(after, Event::Fault);
-        let fault = Fault::drawn(self.draw_below(FAULT_KINDS));
+        let fault = Fault::from_draw(self.draw_below(FAULT_KINDS));
         let client_notified = self.draw_below(50 * MILLISECOND);
         let server_notified = self.draw_below(50 * MILLISECOND);
         match fault {
--- a/crates/linenthread-simulation/src/link/invariants.rs
+++ b/crates/linenthread-simulation/src/link/invariants.rs
@@ -13,14 +13,14 @@
             || self.client.queued_bytes() > MAX_QUEUED_BYTES
             || self.server.retained_calls() > max_retained
         {
-            self.violated(Invariant::Bounded, "more is retained than may be");
+            self.record_violation(Invariant::Bounded, "more is retained than may be");
         }
     }
 
     /// Checks and counts all calls at the end of a schedule.
-    pub(super) fn check_end(&mut self, statistics: &mut Statistics) {
+    pub(super) fn check_calls(&mut self, statistics: &mut Statistics) {
         if self.client.in_flight() == 0 && self.client.queued_bytes() > 0 {
-            self.violated(
+            self.record_violation(
                 Invariant::Bounded,
                 "bytes are counted of calls that have completed",
             );
--- a/crates/linenthread-simulation/src/link/mod.rs
+++ b/crates/linenthread-simulation/src/link/mod.rs
@@ -48,13 +48,13 @@
 /// The simulated time at which a schedule starts; not 0, so that earlier times can be represented.
 const START: TenthMillis = 1_000 * MILLISECOND;
 /// How long faults are injected, from the start of a schedule.
-const FAULTS: TenthMillis = 3_000 * MILLISECOND;
+const FAULT_DURATION: TenthMillis = 3_000 * MILLISECOND;
 /// The time after the last fault within which the link must recover.
-const RECOVERY: TenthMillis = 4_000 * MILLISECOND;
+const RECOVERY_TIME: TenthMillis = 4_000 * MILLISECOND;
 /// The duration of a schedule.
-const LENGTH: TenthMillis = FAULTS + RECOVERY + 3_000 * MILLISECOND;
+const SCHEDULE_DURATION: TenthMillis = FAULT_DURATION + RECOVERY_TIME + 3_000 * MILLISECOND;
 /// How long calls are made. None is made in the last second of a schedule, so that all can complete.
-const LAST_CALL: TenthMillis = LENGTH - 1_000 * MILLISECOND;
+const CALL_PERIOD: TenthMillis = SCHEDULE_DURATION - 1_000 * MILLISECOND;
 /// The maximum number of violations printed.
 const MAX_PRINTED: usize = 10;
 
@@ -74,7 +74,7 @@
     pub(crate) fn run(&self) -> RunSummary {
         let mut statistics = Statistics::default();
         let mut violations = 0;
-        for index in 0..number::count(self.schedules) {
+        for index in 0..number::to_u64(self.schedules) {
             let seed = self.seed.wrapping_add(index);
             let world = World::new(seed, !self.no_resume);
             let Some(violation) = world.run(&mut statistics) else {
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -7,7 +7,7 @@
 use super::network::Direction;
 use super::statistics::Statistics;
 use super::world::World;
-use super::{LAST_CALL, LENGTH, MILLISECOND, START};
+use super::{CALL_PERIOD, MILLISECOND, SCHEDULE_DURATION, START};
 
 impl World {
     /// Runs the schedule to its end or its first violation, which is returned.
@@ -17,14 +17,14 @@
         self.schedule(0, Event::MakeCall);
         self.schedule(200 * MILLISECOND, Event::Fault);
         while self.violation.is_none()
-            && let Some((at, event)) = self.events.pop_by(START + LENGTH)
+            && let Some((at, event)) = self.events.pop_by(START + SCHEDULE_DURATION)
         {
             self.now = at;
             self.handle(event);
         }
         statistics.false_alarms += self.false_alarms;
         statistics.detection_times.append(&mut self.detection_times);
-        self.check_end(statistics);
+        self.check_calls(statistics);
         self.violation
     }
 
@@ -39,7 +39,7 @@
             Event::ServerTimeout => self.server.on_timeout(now, &mut server_actions),
             Event::Connected { connection, open } if self.connections.is_current(connection) => {
                 if open {
-                    self.open(connection, &mut server_actions);
+                    self.open_connection(connection, &mut server_actions);
                 } else {
                     self.connections.current = None;
                     self.client.on_disconnected(now, &mut client_actions);
@@ -78,13 +78,13 @@
                 self.server
                     .on_call_completed(session, outcome, &mut server_actions);
             }
-            Event::MakeCall if now < START + LAST_CALL => self.make_call(&mut client_actions),
-            Event::Deadline(id) => self.give_up(id, &mut client_actions),
+            Event::MakeCall if now < START + CALL_PERIOD => self.make_call(&mut client_actions),
+            Event::Deadline(id) => self.withdraw_call(id, &mut client_actions),
             Event::Fault => self.inject_fault(),
             _ => {}
         }
-        self.perform_client(client_actions);
-        self.perform_server(server_actions);
+        self.perform_client_actions(client_actions);
+        self.perform_server_actions(server_actions);
         self.check_limits();
     }
 }
--- a/crates/linenthread-simulation/src/link/statistics.rs
+++ b/crates/linenthread-simulation/src/link/statistics.rs
@@ -54,7 +54,7 @@
 
     /// Returns a quantile of the sorted detection times, in milliseconds; 0 if there are none.
     fn detection_quantile(&self, quantile: f64) -> TenthMillis {
-        let rank = number::position(self.detection_times.len(), quantile);
+        let rank = number::quantile_index(self.detection_times.len(), quantile);
         self.detection_times
             .get(rank)
             .map_or(0, |time| time / MILLISECOND)
--- a/crates/linenthread-simulation/src/link/traffic.rs
+++ b/crates/linenthread-simulation/src/link/traffic.rs
@@ -14,7 +14,7 @@
 impl World {
     /// Makes a call as the user of the client, and schedules the next one.
     pub(super) fn make_call(&mut self, actions: &mut Vec<ClientAction>) {
-        let number = number::count(self.records.len());
+        let number = number::to_u64(self.records.len());
         let deadline = self.now + 100 * MILLISECOND + self.draw_below(900 * MILLISECOND);
         self.records.insert(
             number,
@@ -42,7 +42,7 @@
     }
 
     /// Withdraws a call whose deadline has expired, unless it has ended.
-    pub(super) fn give_up(&mut self, id: CallId, actions: &mut Vec<ClientAction>) {
+    pub(super) fn withdraw_call(&mut self, id: CallId, actions: &mut Vec<ClientAction>) {
         let number = self.calls.get(&id).copied().unwrap_or_default();
         let record = self.records.get_mut(&number);
         if let Some(record) = record.filter(|record| record.outcome.is_none()) {
@@ -64,7 +64,7 @@
         {
             record.runs += 1;
             if record.runs > 1 {
-                self.violated(Invariant::AtMostOnce, &format!("call {id} ran twice"));
+                self.record_violation(Invariant::AtMostOnce, &format!("call {id} ran twice"));
             }
         }
         let after = 1 + self.draw_below(60 * MILLISECOND);
@@ -92,13 +92,13 @@
         let earlier = record.outcome.replace(outcome);
         let runs = record.runs;
         if let Some(earlier) = earlier {
-            self.violated(
+            self.record_violation(
                 Invariant::OneOutcome,
                 &format!("call {number} ended as {earlier:?} and then as {outcome:?}"),
             );
         }
         if outcome == AttemptOutcome::Success && (runs != 1 || value != number.to_string()) {
-            self.violated(
+            self.record_violation(
                 Invariant::SuccessRanOnce,
                 &format!("call {number} succeeded with {value}, and ran {runs} times"),
             );
--- a/crates/linenthread-simulation/src/link/transport.rs
+++ b/crates/linenthread-simulation/src/link/transport.rs
@@ -18,7 +18,11 @@
     }
 
     /// Opens a connection and notifies both ends.
-    pub(super) fn open(&mut self, connection: ConnectionId, actions: &mut Vec<ServerAction>) {
+    pub(super) fn open_connection(
+        &mut self,
+        connection: ConnectionId,
+        actions: &mut Vec<ServerAction>,
+    ) {
         self.connections
             .all
             .insert(connection, Connection::new(self.now));
@@ -27,7 +31,7 @@
     }
 
     /// Closes the client's connection; the server is notified later.
-    pub(super) fn close(&mut self, reason: &ClientCloseReason) {
+    pub(super) fn close_connection(&mut self, reason: &ClientCloseReason) {
         let Some(id) = self.connections.current.take() else {
             return;
         };
@@ -42,7 +46,7 @@
     }
 
     /// Schedules the writing of a frame. The connection may be lost before the frame is written.
-    pub(super) fn write(&mut self, frame: Frame) {
+    pub(super) fn schedule_write(&mut self, frame: Frame) {
         let Some(id) = self.connections.current else {
             return;
         };
--- a/crates/linenthread-simulation/src/link/world.rs
+++ b/crates/linenthread-simulation/src/link/world.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records a violation, if it is the first.
-    pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
+    pub(super) fn record_violation(&mut self, invariant: Invariant, details: &str) {
         self.violation
             .get_or_insert_with(|| Violation::new(invariant, details));
     }
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -34,7 +34,7 @@
 /// Sorts the times and returns a quantile.
 fn quantile(times: &mut [f64], share: f64) -> f64 {
     times.sort_by(f64::total_cmp);
-    times[number::position(times.len() - 1, share)]
+    times[number::quantile_index(times.len() - 1, share)]
 }
 
 /// Makes a query and returns the status of the response, if one arrives.
@@ -48,10 +48,10 @@
     let mut times = [Vec::new(), Vec::new()];
     let mut clients = [&sites.gateway, &sites.local].map(linenthread_fakes::Service::connect);
     for n in 0..ALTERNATING_QUERIES {
-        for (which, client) in clients.iter_mut().enumerate() {
+        for (target, client) in clients.iter_mut().enumerate() {
             let begin = Instant::now();
-            if query(client, "find", &format!("lat{which}-{n}")) == Some(200) {
-                times[which].push(begin.elapsed().as_secs_f64() * 1e6);
+            if query(client, "find", &format!("lat{target}-{n}")) == Some(200) {
+                times[target].push(begin.elapsed().as_secs_f64() * 1e6);
             }
         }
     }
@@ -84,20 +84,24 @@
 }
 
 /// Measures queries per second with `in_flight` concurrent clients, and the CPU time per query of each process.
-fn measure_throughput(address: SocketAddr, in_flight: usize, processes: &[u32], what: &str) {
-    let (done, over) = (AtomicUsize::new(0), AtomicBool::new(false));
+fn measure_throughput(address: SocketAddr, in_flight: usize, processes: &[u32], label: &str) {
+    let (completed, stop) = (AtomicUsize::new(0), AtomicBool::new(false));
     let before: Vec<f64> = processes.iter().map(|id| cpu_seconds(*id)).collect();
     let begin = Instant::now();
     scope(|threads| {
-        for one in 0..in_flight {
-            let (done, over) = (&done, &over);
+        for worker in 0..in_flight {
+            let (completed, stop) = (&completed, &stop);
             threads.spawn(move || {
                 let mut client = Client::connect(address);
                 let mut n = 0;
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     n += 1;
-                    match query(&mut client, "find", &format!("{what}{in_flight}-{one}-{n}")) {
-                        Some(200) => drop(done.fetch_add(1, Ordering::Relaxed)),
+                    match query(
+                        &mut client,
+                        "find",
+                        &format!("{label}{in_flight}-{worker}-{n}"),
+                    ) {
+                        Some(200) => drop(completed.fetch_add(1, Ordering::Relaxed)),
                         Some(503) => sleep(Duration::from_millis(20)),
                         _ => client = Client::connect(address),
                     }
@@ -105,26 +109,26 @@
             });
         }
         sleep(THROUGHPUT_RUN);
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
     });
-    let (elapsed, done) = (
+    let (elapsed, completed) = (
         begin.elapsed().as_secs_f64(),
-        done.load(Ordering::Relaxed).max(1),
+        completed.load(Ordering::Relaxed).max(1),
     );
-    let spent: Vec<String> = processes
+    let cpu_times: Vec<String> = processes
         .iter()
         .zip(before)
         .map(|(id, before)| {
             format!(
                 "{:.0}",
-                (cpu_seconds(*id) - before) * 1e6 / number::float(done)
+                (cpu_seconds(*id) - before) * 1e6 / number::to_f64(completed)
             )
         })
         .collect();
     println!(
-        "{what}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
-        number::float(done) / elapsed,
-        spent.join(" and ")
+        "{label}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
+        number::to_f64(completed) / elapsed,
+        cpu_times.join(" and ")
     );
 }
 
@@ -133,15 +137,17 @@
 fn recovery_ms(results: &[QueryResult], restored: Duration) -> i64 {
     let answered = results
         .iter()
-        .filter(|t| t.status == Some(200) && t.scheduled_at >= restored);
+        .filter(|result| result.status == Some(200) && result.scheduled_at >= restored);
     answered
-        .map(|t| i64::try_from((t.scheduled_at - restored).as_millis()).unwrap_or(i64::MAX))
+        .map(|result| {
+            i64::try_from((result.scheduled_at - restored).as_millis()).unwrap_or(i64::MAX)
+        })
         .min()
         .unwrap_or(-1)
 }
 
 /// Prints the verdict on a run and at most five of its violations.
-fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
+fn report(label: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
     let Verdict {
         checked,
         succeeded,
@@ -150,7 +156,7 @@
         violations,
     } = verdict;
     println!(
-        "{what}: {checked} queries, {succeeded} succeeded, {rejected} rejected, {failed} failed, {} lost; recovered after {recovery_ms} ms",
+        "{label}: {checked} queries, {succeeded} succeeded, {rejected} rejected, {failed} failed, {} lost; recovered after {recovery_ms} ms",
         checked - succeeded - rejected - failed
     );
     violations
@@ -164,10 +170,10 @@
 }
 
 /// Makes non-idempotent queries at a steady rate while the link is down for `length`.
-fn measure_outage(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
+fn measure_outage(sites: &mut Sites, length: Duration, label: &str) -> RunSummary {
     let before = Duration::from_millis(500);
     let load = SteadyLoad {
-        tag: format!("{what}{}", length.as_millis()).replace(' ', "-"),
+        tag: format!("{label}{}", length.as_millis()).replace(' ', "-"),
         indexes: vec!["order"],
         interval: QUERY_INTERVAL,
         duration: before + length + Duration::from_secs(3),
@@ -180,16 +186,16 @@
         sites.proxy.set_upstream(Some(sites.link_address));
     });
     report(
-        &format!("{what}, link down for {} ms", length.as_millis()),
+        &format!("{label}, link down for {} ms", length.as_millis()),
         &verdict,
         recovery_ms(&results, before + length),
     )
 }
 
 /// Kills one of two gateways to the same replicas under load.
-fn measure_gateway_failure(exe: &str) -> RunSummary {
+fn measure_gateway_failure(program: &str) -> RunSummary {
     let mut sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             second_gateway: true,
             ..SLOW_REPLICAS
@@ -206,9 +212,14 @@
         sleep(before);
         sites.gateway.signal("-KILL");
     });
-    let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.scheduled_at < before);
+    let (early, late): (Vec<_>, Vec<_>) = results
+        .iter()
+        .partition(|result| result.scheduled_at < before);
     let percent = |of: &[&QueryResult]| {
-        let succeeded = of.iter().filter(|t| t.status == Some(200)).count();
+        let succeeded = of
+            .iter()
+            .filter(|result| result.status == Some(200))
+            .count();
         number::percent(succeeded, of.len())
     };
     println!(
@@ -225,9 +236,9 @@
 
 /// Delays first one and then the other of two links, and prints the share of queries that take no longer than on a link
 /// without delay. The optimum is 100%.
-fn measure_link_choice(exe: &str) -> RunSummary {
+fn measure_link_choice(program: &str) -> RunSummary {
     let mut sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             service_time: Duration::ZERO,
             second_gateway: true,
@@ -256,18 +267,18 @@
         "the first slow by 20 ms each way",
         "the second slow",
     ];
-    for (phase, what) in (0..).zip(phases) {
-        let in_phase = |t: &&QueryResult| {
-            t.scheduled_at >= each * phase && t.scheduled_at < each * (phase + 1)
+    for (phase, label) in (0..).zip(phases) {
+        let in_phase = |result: &&QueryResult| {
+            result.scheduled_at >= each * phase && result.scheduled_at < each * (phase + 1)
         };
         let all = results.iter().filter(in_phase).count();
         let quick = results
             .iter()
             .filter(in_phase)
-            .filter(|t| t.status == Some(200) && t.latency < slow / 2)
+            .filter(|result| result.status == Some(200) && result.latency < slow / 2)
             .count();
         println!(
-            "two links, {what}: {:.1}% of {all} queries within 10 ms",
+            "two links, {label}: {:.1}% of {all} queries within 10 ms",
             number::percent(quick, all)
         );
     }
@@ -287,9 +298,9 @@
 }
 
 /// Measures the client's memory while long queries are made across a link that accepts no more bytes.
-fn measure_stalled_link(exe: &str) {
+fn measure_stalled_link(program: &str) {
     let sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             service_time: Duration::ZERO,
             ..SLOW_REPLICAS
@@ -298,19 +309,19 @@
     let client = sites.local.child.id();
     let before = resident_megabytes(client);
     sites.proxy.silence(Direction::ToUpstream, true);
-    let (max, over) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
+    let (max, stop) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
     scope(|threads| {
-        for one in 0..100 {
-            let (over, address) = (&over, sites.local.address);
+        for worker in 0..100 {
+            let (stop, address) = (&stop, sites.local.address);
             threads.spawn(move || {
                 let text = "x".repeat(50_000);
                 let mut n = 0;
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     n += 1;
                     let mut client = Client::connect(address);
                     client.send(&request_with(
                         "find",
-                        &format!("st{one}-{n}"),
+                        &format!("st{worker}-{n}"),
                         &[1],
                         &text,
                         &Value::Null,
@@ -324,7 +335,7 @@
             let mut max = max.lock().expect("the lock is not poisoned");
             *max = max.max(resident_megabytes(client));
         }
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
     });
     let max = max.into_inner().unwrap_or_default();
     println!(
@@ -333,9 +344,9 @@
 }
 
 /// Runs all benchmarks with the given program.
-pub(crate) fn run(exe: &str) -> RunSummary {
+pub(crate) fn run(program: &str) -> RunSummary {
     let sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             service_time: Duration::ZERO,
             ..SLOW_REPLICAS
@@ -347,25 +358,25 @@
         measure_throughput(sites.gateway.address, in_flight, &[gateway], "direct");
         measure_throughput(sites.local.address, in_flight, &[client, gateway], "across");
     }
-    measure_stalled_link(exe);
+    measure_stalled_link(program);
     let mut summary = RunSummary::default();
     let session_timeouts = [
         (Duration::from_secs(15), "resumed"),
         (Duration::from_millis(10), "not resumed"),
     ];
-    for (session_timeout, what) in session_timeouts {
+    for (session_timeout, label) in session_timeouts {
         let mut sites = Sites::start(
-            exe,
+            program,
             SitesConfig {
                 session_timeout,
                 ..SLOW_REPLICAS
             },
         );
         for ms in [50, 200, 1_000, 5_000, 10_000] {
-            summary += measure_outage(&mut sites, Duration::from_millis(ms), what);
+            summary += measure_outage(&mut sites, Duration::from_millis(ms), label);
         }
     }
-    summary += measure_gateway_failure(exe);
-    summary += measure_link_choice(exe);
+    summary += measure_gateway_failure(program);
+    summary += measure_link_choice(program);
     summary
 }
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -83,7 +83,7 @@
 impl Simulation {
     fn new(count: usize, seed: u64) -> Simulation {
         let member = |number: usize| {
-            let seed = seed.wrapping_mul(SEED_STRIDE) + number::count(number);
+            let seed = seed.wrapping_mul(SEED_STRIDE) + number::to_u64(number);
             Some(Members::new(config(number, count, seed), 0))
         };
         Simulation {
@@ -171,7 +171,7 @@
     MembersConfig {
         local,
         seeds: (0..SEEDS).map(peer_address).collect(),
-        expected_members: number::small(count),
+        expected_members: number::to_u32(count),
         probe_interval: PROBE_INTERVAL,
         secrets: Secrets::new(vec![b"a secret of some length".to_vec()])
             .expect("the secret is long enough"),
@@ -199,10 +199,10 @@
     let (datagrams, bytes) = (simulation.datagrams, simulation.bytes);
     let started_at = Instant::now();
     simulation.run_for(MEASURED_SECONDS * SECOND);
-    let member_seconds = number::float(count) * number::float_of_time(MEASURED_SECONDS);
+    let member_seconds = number::to_f64(count) * number::time_to_f64(MEASURED_SECONDS);
     let cpu = MICROSECONDS * started_at.elapsed().as_secs_f64() / member_seconds;
-    let datagrams = number::float(simulation.datagrams - datagrams) / member_seconds;
-    let bytes = number::float(simulation.bytes - bytes) / member_seconds;
+    let datagrams = number::to_f64(simulation.datagrams - datagrams) / member_seconds;
+    let bytes = number::to_f64(simulation.bytes - bytes) / member_seconds;
     simulation.members[count / 2] = None;
     let one_down = simulation.run_until_known(count - 2);
     println!(
--- a/crates/linenthread-simulation/src/merged/client.rs
+++ b/crates/linenthread-simulation/src/merged/client.rs
@@ -40,7 +40,7 @@
         shards.rotate_left(first);
         let weights: Vec<f64> = shards
             .iter()
-            .map(|_| 1.0 + number::float(random::index(rng, 4)))
+            .map(|_| 1.0 + number::to_f64(random::index(rng, 4)))
             .collect();
         let all: f64 = weights.iter().sum();
         let normalized = weights.iter().map(|weight| weight / all);
--- a/crates/linenthread-simulation/src/merged/event.rs
+++ b/crates/linenthread-simulation/src/merged/event.rs
@@ -3,13 +3,16 @@
 use linenthread_core::interface::ReplicaIndex;
 
 use super::decision::Attempt;
-use super::fault::AttemptFate;
+use super::fault::DrawnOutcome;
 
 /// An event in the queue.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Event {
     /// An attempt ends with the outcome that was drawn for it.
-    AttemptCompleted { attempt: Attempt, fate: AttemptFate },
+    AttemptCompleted {
+        attempt: Attempt,
+        drawn: DrawnOutcome,
+    },
     /// A health check completes.
     HealthChecked {
         replica: ReplicaIndex,
--- a/crates/linenthread-simulation/src/merged/fault.rs
+++ b/crates/linenthread-simulation/src/merged/fault.rs
@@ -4,7 +4,7 @@
 
 /// The outcome that the simulation draws for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum AttemptFate {
+pub(super) enum DrawnOutcome {
     Success,
     DuplicateSuccess,
     MalformedValue,
@@ -16,17 +16,17 @@
     Cancelled,
 }
 
-impl AttemptFate {
+impl DrawnOutcome {
     /// Returns the outcome that is reported to the decision module.
     pub(super) fn outcome(self) -> AttemptOutcome {
         match self {
-            AttemptFate::Success | AttemptFate::DuplicateSuccess => AttemptOutcome::Success,
-            AttemptFate::MalformedValue | AttemptFate::Error => AttemptOutcome::Error,
-            AttemptFate::Rejected => AttemptOutcome::Rejected,
-            AttemptFate::ConnectFailed => AttemptOutcome::ConnectFailed,
-            AttemptFate::ConnectionLost => AttemptOutcome::ConnectionLost,
-            AttemptFate::TimedOut => AttemptOutcome::TimedOut,
-            AttemptFate::Cancelled => AttemptOutcome::Cancelled,
+            DrawnOutcome::Success | DrawnOutcome::DuplicateSuccess => AttemptOutcome::Success,
+            DrawnOutcome::MalformedValue | DrawnOutcome::Error => AttemptOutcome::Error,
+            DrawnOutcome::Rejected => AttemptOutcome::Rejected,
+            DrawnOutcome::ConnectFailed => AttemptOutcome::ConnectFailed,
+            DrawnOutcome::ConnectionLost => AttemptOutcome::ConnectionLost,
+            DrawnOutcome::TimedOut => AttemptOutcome::TimedOut,
+            DrawnOutcome::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 }
--- a/crates/linenthread-simulation/src/merged/faults.rs
+++ b/crates/linenthread-simulation/src/merged/faults.rs
@@ -3,7 +3,7 @@
 use linenthread_core::interface::{MembershipUpdate, Phase, ReplicaIndex, TenthMillis};
 
 use super::event::Event;
-use super::fault::{AttemptFate, ReplicaBehavior};
+use super::fault::{DrawnOutcome, ReplicaBehavior};
 use super::replicas::SimulatedReplicas;
 use super::settings::REPLICA_GROUPS;
 use crate::number;
@@ -11,7 +11,7 @@
 
 impl SimulatedReplicas {
     /// Stops, drains, replaces or brings back a random replica, and schedules the next change.
-    pub(super) fn change(&mut self) {
+    pub(super) fn change_replica(&mut self) {
         let replica = random::index(&mut self.rng, REPLICA_GROUPS);
         let entry = &mut self.members[replica];
         match (entry.phase, self.rng.rand_range(0..3)) {
@@ -34,32 +34,35 @@
     }
 
     /// Draws the outcome of an attempt at a replica, and how long after it was sent the attempt ends.
-    pub(super) fn fate(
+    pub(super) fn draw_outcome(
         &mut self,
         ReplicaIndex(replica): ReplicaIndex,
-    ) -> (TenthMillis, AttemptFate) {
+    ) -> (TenthMillis, DrawnOutcome) {
         let ReplicaBehavior { slow, faults, .. } = self.behavior;
         if !self.is_alive[replica] {
             return (
                 2 + random::time_below(&mut self.rng, 20),
-                AttemptFate::ConnectFailed,
+                DrawnOutcome::ConnectFailed,
             );
         }
-        let usual = 10 + number::time(400.0 * self.rng.rand_float().powi(3));
+        let usual = 10 + number::time_from_f64(400.0 * self.rng.rand_float().powi(3));
         if self.rng.rand_float() < slow {
-            return (1_000_000, AttemptFate::Success);
+            return (1_000_000, DrawnOutcome::Success);
         }
         if self.rng.rand_float() >= faults {
-            return (usual, AttemptFate::Success);
+            return (usual, DrawnOutcome::Success);
         }
-        let fates = [
-            AttemptFate::DuplicateSuccess,
-            AttemptFate::MalformedValue,
-            AttemptFate::Error,
-            AttemptFate::Rejected,
-            AttemptFate::ConnectFailed,
-            AttemptFate::ConnectionLost,
+        let outcomes = [
+            DrawnOutcome::DuplicateSuccess,
+            DrawnOutcome::MalformedValue,
+            DrawnOutcome::Error,
+            DrawnOutcome::Rejected,
+            DrawnOutcome::ConnectFailed,
+            DrawnOutcome::ConnectionLost,
         ];
-        (usual, fates[random::index(&mut self.rng, fates.len())])
+        (
+            usual,
+            outcomes[random::index(&mut self.rng, outcomes.len())],
+        )
     }
 }
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -14,7 +14,7 @@
 impl World<'_> {
     /// Checks the response to a query against the full data. `completeness` is the decision module's classification.
     pub(super) fn check_response(&mut self, query: QueryIndex, completeness: Completeness) {
-        let Some(open) = self.open.get(&query) else {
+        let Some(open) = self.open_queries.get(&query) else {
             return;
         };
         let body = open
@@ -31,7 +31,7 @@
             .and_then(|()| open.check_completeness(&response, completeness));
         if let Err(violation) = result {
             client.cursor = None;
-            self.violated(query, &violation);
+            self.report_violation(query, &violation);
         }
     }
 }
--- a/crates/linenthread-simulation/src/merged/open_query.rs
+++ b/crates/linenthread-simulation/src/merged/open_query.rs
@@ -64,7 +64,7 @@
     }
 
     /// Passes a value that may be invalid to the merger, and reports whether it is accepted.
-    pub(super) fn accepts(
+    pub(super) fn try_accept(
         &mut self,
         sub_request: SubRequestIndex,
         request: &Request,
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -11,8 +11,8 @@
 
 use super::decision::{Attempt, Decision, DecisionLog, SentAttempt};
 use super::event::Event;
-use super::fault::{AttemptFate, ReplicaBehavior};
-use super::settings::{REPLICA_GROUPS, deployment};
+use super::fault::{DrawnOutcome, ReplicaBehavior};
+use super::settings::{REPLICA_GROUPS, coordinator_config};
 use crate::event_queue::EventQueue;
 use crate::number;
 
@@ -51,7 +51,7 @@
     ) -> SimulatedReplicas {
         let entry = |n: usize| MembershipEntry {
             replica: ReplicaIndex(n),
-            id: FIRST_REPLICA_ID + number::count(n),
+            id: FIRST_REPLICA_ID + number::to_u64(n),
             replica_group: n,
             zone: n % 2,
             phase: Phase::Ready,
@@ -64,7 +64,7 @@
             inputs: Inputs::default(),
             rng: Rand64::new(u128::from(seed)),
             behavior,
-            coordinator: Coordinator::new(deployment(indexes), seed),
+            coordinator: Coordinator::new(coordinator_config(indexes), seed),
             events: EventQueue::default(),
             in_flight: BTreeMap::new(),
             attempt_counts: BTreeMap::new(),
@@ -87,7 +87,7 @@
 
     /// Advances time to the next events and returns them; all have the same time. Changes of replicas and health checks
     /// are handled here and not returned.
-    pub(super) fn next(&mut self) -> Vec<Event> {
+    pub(super) fn next_events(&mut self) -> Vec<Event> {
         let Some(at) = self.events.next_at() else {
             return Vec::new();
         };
@@ -95,7 +95,7 @@
         let mut events = Vec::new();
         while let Some((_, event)) = self.events.pop_by(at) {
             match event {
-                Event::MembershipChange => self.change(),
+                Event::MembershipChange => self.change_replica(),
                 Event::HealthChecked { replica, is_alive } => {
                     let outcome = if is_alive {
                         AttemptOutcome::Success
@@ -115,7 +115,7 @@
     }
 
     /// Ends an attempt and reports its outcome to the decision module.
-    pub(super) fn complete(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
+    pub(super) fn complete_attempt(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
         if let Some(sent_at) = self.in_flight.remove(&attempt) {
             self.inputs.results.push(AttemptResult {
                 query: attempt.query,
@@ -144,8 +144,8 @@
             numbers.push(self.send(&sent));
         }
         for attempt in log.cancelled {
-            let fate = AttemptFate::Cancelled;
-            self.schedule(0, Event::AttemptCompleted { attempt, fate });
+            let drawn = DrawnOutcome::Cancelled;
+            self.schedule(0, Event::AttemptCompleted { attempt, drawn });
         }
         for replica in log.health_checks {
             let is_alive = self.is_alive[replica.0];
@@ -180,14 +180,14 @@
             ..sent.attempt
         };
         *count += 1;
-        let (after, fate) = self.fate(sent.replica);
+        let (after, drawn) = self.draw_outcome(sent.replica);
         self.in_flight.insert(attempt, self.now);
-        let (after, fate) = if after < sent.timeout {
-            (after, fate)
+        let (after, drawn) = if after < sent.timeout {
+            (after, drawn)
         } else {
-            (sent.timeout, AttemptFate::TimedOut)
+            (sent.timeout, DrawnOutcome::TimedOut)
         };
-        self.schedule(after, Event::AttemptCompleted { attempt, fate });
+        self.schedule(after, Event::AttemptCompleted { attempt, drawn });
         attempt.number
     }
 }
--- a/crates/linenthread-simulation/src/merged/settings.rs
+++ b/crates/linenthread-simulation/src/merged/settings.rs
@@ -18,7 +18,7 @@
 };
 
 /// Returns the configuration with the given indexes.
-pub(super) fn deployment(indexes: Vec<IndexConfig>) -> CoordinatorConfig {
+pub(super) fn coordinator_config(indexes: Vec<IndexConfig>) -> CoordinatorConfig {
     CoordinatorConfig {
         coordinator_number: 0,
         coordinator_count: 1,
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -15,7 +15,7 @@
             self.replicas
                 .schedule(first_query_at, Event::NextQuery { client });
         }
-        while self.statistics.queries < self.options.queries || !self.open.is_empty() {
+        while self.statistics.queries < self.options.queries || !self.open_queries.is_empty() {
             self.step();
         }
         self.statistics
@@ -23,13 +23,13 @@
 
     /// Handles the next events, and then the decisions that the decision module makes on them.
     fn step(&mut self) {
-        for event in self.replicas.next() {
+        for event in self.replicas.next_events() {
             match event {
                 Event::NextQuery { client } if self.statistics.queries < self.options.queries => {
                     self.make_query(client);
                 }
-                Event::AttemptCompleted { attempt, fate } => {
-                    self.on_attempt_completed(attempt, fate);
+                Event::AttemptCompleted { attempt, drawn } => {
+                    self.on_attempt_completed(attempt, drawn);
                 }
                 _ => {}
             }
@@ -42,14 +42,14 @@
     /// Handles a decision of the decision module.
     fn on_decision(&mut self, decision: &Decision) {
         match *decision {
-            Decision::Send(attempt) => self.on_attempt(attempt),
+            Decision::Send(attempt) => self.on_attempt_sent(attempt),
             Decision::Release(query) => {
                 self.free_indices.push(query);
-                let open = self.open.remove(&query);
+                let open = self.open_queries.remove(&query);
                 if open.is_some_and(|open| !open.is_completed) {
                     let violation =
                         Violation::new(Invariant::OneResponseInTime, "released without a response");
-                    self.violated(query, &violation);
+                    self.report_violation(query, &violation);
                 }
             }
             Decision::Respond {
@@ -63,7 +63,7 @@
             Decision::Reject(query) | Decision::Fail(query) => {
                 if self.on_completed(query) {
                     self.statistics.rejected += 1;
-                    let client = self.open[&query].client;
+                    let client = self.open_queries[&query].client;
                     self.clients[client].cursor = None;
                 }
             }
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -11,7 +11,7 @@
 
 use super::decision::Attempt;
 use super::event::Event;
-use super::fault::AttemptFate;
+use super::fault::DrawnOutcome;
 use super::invariant::{Invariant, Violation};
 use super::open_query::{OpenQuery, Request};
 use super::settings::{MAX_ATTEMPTS, SHARDS};
@@ -55,8 +55,8 @@
             shard_count: SHARDS,
         };
         let query = self.free_indices.pop().unwrap_or_else(|| {
-            self.indices += 1;
-            QueryIndex(self.indices - 1)
+            self.index_count += 1;
+            QueryIndex(self.index_count - 1)
         });
         self.statistics.queries += 1;
         match Merger::new(plan, &merge_query, &page, Some(&self.signer), UNIX_SECONDS) {
@@ -68,7 +68,7 @@
                 };
                 self.replicas.schedule(1, retry);
                 let violation = Violation::new(Invariant::QueriesStart, error.to_string());
-                self.violated(query, &violation);
+                self.report_violation(query, &violation);
             }
         }
     }
@@ -80,8 +80,8 @@
             query,
             search_index: SearchIndex(self.clients[client].plan),
             customer: 0,
-            key: Some(number::count(client)),
-            sequence_number: number::count(query.0),
+            key: Some(number::to_u64(client)),
+            sequence_number: number::to_u64(query.0),
             hard_deadline,
         });
         let sub_request = |&ShardWeight { shard, weight }: &ShardWeight| NewSubRequest {
@@ -100,12 +100,12 @@
             attempts: BTreeMap::new(),
             requests: BTreeMap::new(),
         };
-        self.open.insert(query, open);
+        self.open_queries.insert(query, open);
     }
 
     /// Records an attempt that the decision module has sent, and checks *bounded-attempts*.
-    pub(super) fn on_attempt(&mut self, attempt: Attempt) {
-        let Some(open) = self.open.get_mut(&attempt.query) else {
+    pub(super) fn on_attempt_sent(&mut self, attempt: Attempt) {
+        let Some(open) = self.open_queries.get_mut(&attempt.query) else {
             return;
         };
         let SubRequestIndex(sub_request) = attempt.sub_request;
@@ -121,16 +121,16 @@
                 Invariant::BoundedAttempts,
                 "a sub-request is sent too often, or after the response",
             );
-            self.violated(attempt.query, &violation);
+            self.report_violation(attempt.query, &violation);
         }
     }
 
     /// Ends an attempt: passes its value to the merger and its outcome to the decision module.
-    pub(super) fn on_attempt_completed(&mut self, attempt: Attempt, fate: AttemptFate) {
+    pub(super) fn on_attempt_completed(&mut self, attempt: Attempt, drawn: DrawnOutcome) {
         if !self.replicas.is_in_flight(&attempt) {
             return;
         }
-        let Some(open) = self.open.get_mut(&attempt.query) else {
+        let Some(open) = self.open_queries.get_mut(&attempt.query) else {
             return;
         };
         let Attempt {
@@ -138,18 +138,18 @@
         } = attempt;
         let request = open.requests.get(&attempt).cloned().unwrap_or_default();
         let mut violation = None;
-        let is_accepted = match fate {
-            AttemptFate::Success | AttemptFate::DuplicateSuccess => {
+        let is_accepted = match drawn {
+            DrawnOutcome::Success | DrawnOutcome::DuplicateSuccess => {
                 let value = self.clients[open.client].respond(sub_request, &request.text);
                 let accepted = open.accept_valid(sub_request, &request, &value);
                 violation = accepted.violation;
-                if fate == AttemptFate::DuplicateSuccess && violation.is_none() {
+                if drawn == DrawnOutcome::DuplicateSuccess && violation.is_none() {
                     self.statistics.duplicates += 1;
                     violation = open.accept_duplicate(sub_request, &request);
                 }
                 accepted.is_accepted
             }
-            AttemptFate::MalformedValue => open.accepts(sub_request, &request, INVALID_VALUE),
+            DrawnOutcome::MalformedValue => open.try_accept(sub_request, &request, INVALID_VALUE),
             _ => {
                 open.merger.fail(sub_request.0);
                 false
@@ -158,18 +158,18 @@
         let outcome = if is_accepted {
             AttemptOutcome::Success
         } else {
-            fate.outcome()
+            drawn.outcome()
         };
         self.continue_sub_requests(query);
-        self.replicas.complete(attempt, outcome);
+        self.replicas.complete_attempt(attempt, outcome);
         if let Some(violation) = violation {
-            self.violated(query, &violation);
+            self.report_violation(query, &violation);
         }
     }
 
     /// Requests continuations from the decision module for the sub-requests of which the merger needs more rows.
     fn continue_sub_requests(&mut self, query: QueryIndex) {
-        let Some(open) = self.open.get_mut(&query) else {
+        let Some(open) = self.open_queries.get_mut(&query) else {
             return;
         };
         let continuations = open.merger.take_continuations();
@@ -183,7 +183,7 @@
 
     /// Marks a query as completed and schedules its client's next one. Returns false if there is no such query.
     pub(super) fn on_completed(&mut self, query: QueryIndex) -> bool {
-        let Some(open) = self.open.get_mut(&query) else {
+        let Some(open) = self.open_queries.get_mut(&query) else {
             return false;
         };
         let was_completed = std::mem::replace(&mut open.is_completed, true);
@@ -196,7 +196,7 @@
                 Invariant::OneResponseInTime,
                 "responded late or a second time",
             );
-            self.violated(query, &violation);
+            self.report_violation(query, &violation);
         }
         true
     }
--- a/crates/linenthread-simulation/src/merged/world.rs
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -34,13 +34,13 @@
     pub(super) plans: &'p [Plan],
     pub(super) signer: CursorSigner,
     pub(super) replicas: SimulatedReplicas,
-    pub(super) open: BTreeMap<QueryIndex, OpenQuery<'p>>,
+    pub(super) open_queries: BTreeMap<QueryIndex, OpenQuery<'p>>,
     pub(super) clients: Vec<Client>,
     pub(super) statistics: Statistics,
     /// The indices of released queries, which are reused.
     pub(super) free_indices: Vec<QueryIndex>,
     /// The number of indices allocated so far.
-    pub(super) indices: usize,
+    pub(super) index_count: usize,
 }
 
 impl<'p> World<'p> {
@@ -71,15 +71,15 @@
                 options.seed,
                 behavior,
             ),
-            open: BTreeMap::new(),
+            open_queries: BTreeMap::new(),
             statistics: Statistics::default(),
             free_indices: Vec::new(),
-            indices: 0,
+            index_count: 0,
         }
     }
 
     /// Counts a violation. Prints the first [`MAX_PRINTED`] with the command that repeats the run.
-    pub(super) fn violated(&mut self, query: QueryIndex, violation: &Violation) {
+    pub(super) fn report_violation(&mut self, query: QueryIndex, violation: &Violation) {
         self.statistics.violations += 1;
         if self.statistics.violations <= MAX_PRINTED {
             println!("violation at query {}: {violation}", query.0);
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -17,9 +17,9 @@
 use crate::run_summary::RunSummary;
 
 /// Rows on a page.
-const PAGE: usize = 100;
+const PAGE_SIZE: usize = 100;
 /// The number of queries between two readings of the clock.
-const QUERIES_A_ROUND: u32 = 2_000;
+const QUERIES_PER_ROUND: u32 = 2_000;
 /// Larger inputs are merged only once: ten million rows, each kept as a value, take several gigabytes.
 const MAX_REPEATED_ROWS: usize = 1_000_000;
 
@@ -52,7 +52,7 @@
     }
     all.sort_by(|a, b| (a.0, &a.1).cmp(&(b.0, &b.1)));
     let retained = all.len();
-    let page = all.into_iter().take(PAGE).map(|(_, _, row)| row);
+    let page = all.into_iter().take(PAGE_SIZE).map(|(_, _, row)| row);
     (page.collect(), retained)
 }
 
@@ -76,7 +76,7 @@
 }
 
 fn equal_shards(count: usize) -> Vec<QueriedShard> {
-    let weight = 1.0 / number::float(count);
+    let weight = 1.0 / number::to_f64(count);
     (0..count)
         .map(|shard| QueriedShard { shard, weight })
         .collect()
@@ -127,7 +127,7 @@
 }
 
 /// Measures a query with merging and with forwarding.
-fn one_query(rounds: usize) -> QueryTimes {
+fn measure_query(rounds: usize) -> QueryTimes {
     let plan = plan(20, true);
     let Ok(signer) = CursorSigner::new(vec![vec![7; 32]], Duration::from_secs(900)) else {
         return QueryTimes::default();
@@ -137,7 +137,7 @@
     let query = query(&shards);
     let (mut merge_times, mut forward_times) = (Vec::new(), Vec::new());
     for _ in 0..rounds.max(1) {
-        merge_times.push(microseconds_each(|| {
+        merge_times.push(microseconds_per_call(|| {
             let page = PageRequest::default();
             let Ok(mut merger) = Merger::new(&plan, &query, &page, Some(&signer), 0) else {
                 return;
@@ -149,7 +149,7 @@
             }
             black_box(merger.response(Completeness::Complete, Some(&signer), 0));
         }));
-        forward_times.push(microseconds_each(|| {
+        forward_times.push(microseconds_per_call(|| {
             let values = values.iter().enumerate();
             let values = values.map(|(shard, value)| ShardValue { shard, value });
             black_box(encode_response(Completeness::Complete, values));
@@ -161,29 +161,29 @@
     }
 }
 
-fn microseconds_each(mut action: impl FnMut()) -> f64 {
+fn microseconds_per_call(mut action: impl FnMut()) -> f64 {
     let start = Instant::now();
-    for _ in 0..QUERIES_A_ROUND {
+    for _ in 0..QUERIES_PER_ROUND {
         action();
     }
-    start.elapsed().as_secs_f64() * 1e6 / f64::from(QUERIES_A_ROUND)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(QUERIES_PER_ROUND)
 }
 
 /// Measures all sizes and prints a line for each. Each page that differs from the baseline's is a violation.
 pub(crate) fn run(rounds: usize) -> RunSummary {
     let (mut checked, mut violations) = (0, 0);
     println!(
-        "a page of {PAGE}; rows a second in millions, rows retained; medians of {rounds} runs in turn, of one for the largest"
+        "a page of {PAGE_SIZE}; rows a second in millions, rows retained; medians of {rounds} runs in turn, of one for the largest"
     );
     for shards in [10, 100, 1_000] {
-        for rows_each in [100, 10_000] {
-            let is_repeated = shards * rows_each <= MAX_REPEATED_ROWS;
+        for rows_per_shard in [100, 10_000] {
+            let is_repeated = shards * rows_per_shard <= MAX_REPEATED_ROWS;
             let rounds = if is_repeated { rounds.max(1) } else { 1 };
             checked += rounds;
-            violations += compare(shards, rows_each, rounds);
+            violations += compare(shards, rows_per_shard, rounds);
         }
     }
-    let QueryTimes { merged, forwarded } = one_query(rounds);
+    let QueryTimes { merged, forwarded } = measure_query(rounds);
     println!(
         "one query of 8 shards, 20 rows each: merged in {merged:.1} us, forwarded in {forwarded:.1} us"
     );
@@ -194,9 +194,9 @@
 }
 
 /// Merges inputs of one size in both ways, prints a line, and returns how many pages differ.
-fn compare(shards: usize, rows_each: usize, rounds: usize) -> usize {
-    let plan = plan(PAGE, false);
-    let values = shard_values(shards, rows_each);
+fn compare(shards: usize, rows_per_shard: usize, rounds: usize) -> usize {
+    let plan = plan(PAGE_SIZE, false);
+    let values = shard_values(shards, rows_per_shard);
     let mut violations = 0;
     let (mut merge_times, mut sort_times) = (Vec::new(), Vec::new());
     let (mut merge_retained, mut sort_retained) = (0, 0);
@@ -209,15 +209,15 @@
         let (expected, retained) = collect_sort_truncate(&values);
         sort_times.push(start.elapsed().as_secs_f64());
         sort_retained = retained;
-        violations += usize::from(page != expected || page.len() != PAGE);
+        violations += usize::from(page != expected || page.len() != PAGE_SIZE);
     }
-    let million_rows_a_second = |time: f64| number::float(shards * rows_each) / time / 1e6;
+    let million_rows_per_second = |time: f64| number::to_f64(shards * rows_per_shard) / time / 1e6;
     let (merge_time, sort_time) = (median(merge_times), median(sort_times));
     println!(
-        "{shards:5} shards of {rows_each:5}: merged {:7.2} retaining {merge_retained:4}, collected and sorted {:6.2} retaining {sort_retained:7}; \
+        "{shards:5} shards of {rows_per_shard:5}: merged {:7.2} retaining {merge_retained:4}, collected and sorted {:6.2} retaining {sort_retained:7}; \
          {:.1} times as fast",
-        million_rows_a_second(merge_time),
-        million_rows_a_second(sort_time),
+        million_rows_per_second(merge_time),
+        million_rows_per_second(sort_time),
         sort_time / merge_time
     );
     violations
--- a/crates/linenthread-simulation/src/number.rs
+++ b/crates/linenthread-simulation/src/number.rs
@@ -7,12 +7,12 @@
 pub(crate) const SECOND: TenthMillis = 10_000;
 
 /// Converts a count. Counts above 2^53 lose their last digits; no printed number is that precise.
-pub(crate) fn float(count: usize) -> f64 {
+pub(crate) fn to_f64(count: usize) -> f64 {
     count as f64
 }
 
 /// Converts a simulated time, in tenths of a millisecond. `TenthMillis::MAX`, which means never, stays the largest.
-pub(crate) fn float_of_time(time: TenthMillis) -> f64 {
+pub(crate) fn time_to_f64(time: TenthMillis) -> f64 {
     time as f64
 }
 
@@ -22,13 +22,13 @@
     clippy::cast_possible_truncation,
     reason = "the fraction is to be cut off; the conversion saturates"
 )]
-pub(crate) fn time(tenth_millis: f64) -> TenthMillis {
+pub(crate) fn time_from_f64(tenth_millis: f64) -> TenthMillis {
     tenth_millis as TenthMillis
 }
 
 /// Converts a simulated time to seconds.
 pub(crate) fn seconds(time: TenthMillis) -> f64 {
-    float_of_time(time) / float_of_time(SECOND)
+    time_to_f64(time) / time_to_f64(SECOND)
 }
 
 /// Truncates a number to an integer. Negative numbers give 0; numbers too large saturate.
@@ -37,27 +37,27 @@
     clippy::cast_sign_loss,
     reason = "the fraction is to be cut off; the conversion saturates"
 )]
-pub(crate) fn truncated(figure: f64) -> u32 {
+pub(crate) fn truncate_to_u32(figure: f64) -> u32 {
     figure as u32
 }
 
 /// Returns the index of a quantile in a sorted list of this length; a quantile of 1 gives the length itself.
-pub(crate) fn position(length: usize, share: f64) -> usize {
-    index(u64::from(truncated(float(length) * share)))
+pub(crate) fn quantile_index(length: usize, share: f64) -> usize {
+    to_usize(u64::from(truncate_to_u32(to_f64(length) * share)))
 }
 
 /// Converts a length.
-pub(crate) fn count(length: usize) -> u64 {
+pub(crate) fn to_u64(length: usize) -> u64 {
     u64::try_from(length).expect("a length has at most 64 bits")
 }
 
 /// Converts a count to an index.
-pub(crate) fn index(count: u64) -> usize {
+pub(crate) fn to_usize(count: u64) -> usize {
     usize::try_from(count).expect("the count fits into a usize")
 }
 
 /// Converts a length that is known to be small.
-pub(crate) fn small(length: usize) -> u32 {
+pub(crate) fn to_u32(length: usize) -> u32 {
     u32::try_from(length).expect("the length is below 2^32")
 }
 
@@ -68,7 +68,7 @@
 
 /// Returns `part` as a percentage of `all`; 0 if both are 0.
 pub(crate) fn percent(part: usize, all: usize) -> f64 {
-    100.0 * float(part) / float(all.max(1))
+    100.0 * to_f64(part) / to_f64(all.max(1))
 }
 
 /// Returns a percentile of sorted times, in seconds; 0 if there are none.
--- a/crates/linenthread-simulation/src/random.rs
+++ b/crates/linenthread-simulation/src/random.rs
@@ -17,7 +17,7 @@
 
 /// Draws an index into a list of this length; 0 if the list is empty.
 pub(crate) fn index(rng: &mut Rand64, length: usize) -> usize {
-    within(rng, 0..number::count(length).max(1))
+    within(rng, 0..number::to_u64(length).max(1))
 }
 
 /// Draws a simulated time that is at least 0 and below the bound; 0 if the bound is not positive.
--- a/crates/linenthread-simulation/src/schedules.rs
+++ b/crates/linenthread-simulation/src/schedules.rs
@@ -8,7 +8,7 @@
 /// Runs one schedule for each seed and returns their results, ordered by the seed modulo the number of processors and
 /// then by the seed.
 pub(crate) fn run_all<T: Send>(seeds: Range<u64>, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let threads = number::count(std::thread::available_parallelism().map_or(1, NonZero::get));
+    let threads = number::to_u64(std::thread::available_parallelism().map_or(1, NonZero::get));
     std::thread::scope(|scope| {
         let run_part = |thread: u64| {
             let part = seeds.clone().filter(move |seed| seed % threads == thread);
--- a/crates/linenthread-simulation/src/zones/fault.rs
+++ b/crates/linenthread-simulation/src/zones/fault.rs
@@ -38,7 +38,7 @@
 
     /// Reports whether requests from one zone to another fail. `is_isolated` is true for the coordinators that
     /// [`Fault::ObserversIsolated`] affects.
-    pub(super) fn breaks(self, from: usize, to: usize, is_isolated: bool) -> bool {
+    pub(super) fn breaks_route(self, from: usize, to: usize, is_isolated: bool) -> bool {
         match self {
             Fault::ZoneLost(zone) => to == zone || from == zone,
             Fault::TwoZonesLost(a, b) => to == a || to == b || from == a || from == b,
--- a/crates/linenthread-simulation/src/zones/invariants.rs
+++ b/crates/linenthread-simulation/src/zones/invariants.rs
@@ -11,7 +11,7 @@
 /// The factor by which a zone may exceed its capacity, since the measured demand is noisy.
 const LOAD_TOLERANCE: f64 = 1.15;
 /// The requests per second to a zone below which a coordinator may not notice the loss of the zone.
-const MIN_NOTICED: f64 = 10.0;
+const MIN_NOTICED_RATE: f64 = 10.0;
 /// The number of consecutive openings that the controller allows.
 const MAX_OPENINGS: f64 = 20.0;
 /// The number of additional openings allowed for each leader.
@@ -38,14 +38,14 @@
             .filter(|(from, to)| !fault.may_eject(*from, *to))
             .collect();
         if !wrong.is_empty() {
-            self.violated(
+            self.record_violation(
                 Invariant::OnlyFaultyClosed,
                 &format!("closed from and to: {wrong:?}"),
             );
         }
         let limited = routes_closed_for(table, &[Reason::Capacity, Reason::Slow]);
         if self.fault == Fault::Noise && !limited.is_empty() {
-            self.violated(
+            self.record_violation(
                 Invariant::LocalWhileHealthy,
                 "routes are closed though nothing is wrong",
             );
@@ -69,7 +69,7 @@
                 && self.fault != Fault::HostileReports
                 && load > capacity.max(usual) * LOAD_TOLERANCE
             {
-                self.violated(Invariant::WithinCapacity, &format!("zone {to} gets {load:.0}, can process {capacity:.0}, usually gets {usual:.0}"));
+                self.record_violation(Invariant::WithinCapacity, &format!("zone {to} gets {load:.0}, can process {capacity:.0}, usually gets {usual:.0}"));
             }
         }
     }
@@ -95,13 +95,13 @@
     }
 
     /// Reports whether the fault must be handled: enough requests are affected for coordinators to notice it.
-    pub(super) fn must_be_noticed(&self, drain_accepted: bool) -> bool {
+    pub(super) fn must_be_handled(&self, drain_accepted: bool) -> bool {
         let usual = self.usual_loads();
-        let coordinators = number::float(self.coordinators.len() / self.topology.zones.len());
+        let coordinators = number::to_f64(self.coordinators.len() / self.topology.zones.len());
         let is_used = |to: usize, except: usize| {
             (0..self.topology.zones.len()).any(|from| {
                 let load = usual.between(from, to);
-                from != to && from != except && load / coordinators >= MIN_NOTICED
+                from != to && from != except && load / coordinators >= MIN_NOTICED_RATE
             })
         };
         match self.fault {
@@ -113,7 +113,7 @@
     }
 
     /// Reports whether all routes are open.
-    pub(super) fn is_open(&self) -> bool {
+    pub(super) fn all_routes_open(&self) -> bool {
         let table = self.table.as_ref();
         table.is_none_or(|table| table.routes().all(|route| route.share == ALL_KEYS))
     }
@@ -121,11 +121,11 @@
     /// Checks *no-flapping*: allows [`MAX_OPENINGS`], one more for each minute, and [`OPENINGS_PER_LEADER`] for each
     /// leader.
     pub(super) fn check_openings(&mut self) {
-        let minutes = number::float_of_time(self.now - START) / MINUTE;
+        let minutes = number::time_to_f64(self.now - START) / MINUTE;
         let bound = MAX_OPENINGS + minutes + OPENINGS_PER_LEADER * f64::from(self.leaders);
         if f64::from(self.openings) > bound {
             let openings = self.openings;
-            self.violated(
+            self.record_violation(
                 Invariant::NoFlapping,
                 &format!("{openings} openings in {minutes:.1} minutes"),
             );
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -23,17 +23,17 @@
             self.step();
         }
         if self.tables > 0 && self.fault != Fault::HostileReports {
-            self.violated(
+            self.record_violation(
                 Invariant::LocalWhileHealthy,
                 "a table before anything is wrong",
             );
         }
         let drain_accepted = self.run_fault();
-        let must_be_noticed = self.must_be_noticed(drain_accepted);
+        let must_be_handled = self.must_be_handled(drain_accepted);
         let is_late = |after: TenthMillis| after > MAX_REACTION_TIME;
-        if must_be_noticed && self.handled_after.is_none_or(is_late) {
+        if must_be_handled && self.handled_after.is_none_or(is_late) {
             let after = self.handled_after;
-            self.violated(
+            self.record_violation(
                 Invariant::HandledInTime,
                 &format!("handled after {after:?}"),
             );
@@ -42,7 +42,7 @@
         self.check_openings();
         Outcome {
             violations: self.violations,
-            handled_after: self.handled_after.filter(|_| must_be_noticed),
+            handled_after: self.handled_after.filter(|_| must_be_handled),
         }
     }
 
@@ -81,12 +81,12 @@
         let config = failover_config();
         let recovery = 2 * (config.max_ejection_time + 6 * config.return_step) + 20 * SECOND;
         let end = self.now + recovery;
-        while self.now < end && !self.is_open() {
+        while self.now < end && !self.all_routes_open() {
             self.step();
         }
-        if !self.is_open() {
+        if !self.all_routes_open() {
             let rows = self.table.as_ref().map(|table| table.rows.clone());
-            self.violated(
+            self.record_violation(
                 Invariant::Recovers,
                 &format!("not all open again: {rows:?}"),
             );
@@ -108,7 +108,7 @@
         }
         self.controller.set_drained(&self.drained, self.now);
         if let Some(table) = self.controller.decide(self.now, 0, &self.topology) {
-            self.on_table(&table);
+            self.on_new_table(&table);
         }
     }
 }
--- a/crates/linenthread-simulation/src/zones/tables.rs
+++ b/crates/linenthread-simulation/src/zones/tables.rs
@@ -27,7 +27,7 @@
     }
 
     /// Replicates, distributes and checks a new table.
-    pub(super) fn on_table(&mut self, table: &RoutingTable) {
+    pub(super) fn on_new_table(&mut self, table: &RoutingTable) {
         let table = RoutingTable::decode(&table.encode()).expect("an encoded table can be decoded");
         let before: Vec<u16> = match &self.table {
             Some(table) => table.routes().map(|route| route.share).collect(),
--- a/crates/linenthread-simulation/src/zones/traffic.rs
+++ b/crates/linenthread-simulation/src/zones/traffic.rs
@@ -11,11 +11,11 @@
 /// The factor by which a slow zone is slower than usual.
 const SLOWDOWN: f64 = 6.0;
 /// The ratio of the demand in a burst to the usual demand.
-const BURST: f64 = 1.3;
+const BURST_FACTOR: f64 = 1.3;
 /// The mean number of steps between bursts.
-const BURST_EVERY: u64 = 20;
+const STEPS_PER_BURST: u64 = 20;
 /// The share of requests that fail without any fault.
-const USUAL_FAILURES: f64 = 0.05;
+const BASE_FAILURE_RATE: f64 = 0.05;
 /// The utilization above which queueing doesn't increase further.
 const MAX_QUEUED_UTILIZATION: f64 = 0.9;
 /// The maximum number of outcomes that a coordinator observes on a route in a step.
@@ -33,7 +33,7 @@
     fn poisson(&mut self, mean: f64) -> u32 {
         if mean > MAX_EXACT_MEAN {
             let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
-            return number::truncated(mean + normal * mean.sqrt());
+            return number::truncate_to_u32(mean + normal * mean.sqrt());
         }
         let (mut number, limit) = (0, (-mean).exp());
         let mut product = self.rng.rand_float();
@@ -47,9 +47,9 @@
     /// Simulates the traffic of one step and feeds the observations to all coordinators.
     pub(super) fn run_traffic(&mut self) {
         let zones = self.topology.zones.len();
-        let coordinators_per_zone = number::float(self.coordinators.len() / zones);
-        let burst = if self.rng.rand_range(0..BURST_EVERY) == 0 {
-            BURST
+        let coordinators_per_zone = number::to_f64(self.coordinators.len() / zones);
+        let burst = if self.rng.rand_range(0..STEPS_PER_BURST) == 0 {
+            BURST_FACTOR
         } else {
             1.0
         };
@@ -73,7 +73,7 @@
             let sub_requests = self.poisson(mean);
             self.coordinators[index]
                 .observer
-                .on_query(number::index(sub_requests.into()));
+                .on_query(number::to_usize(sub_requests.into()));
             for to in 0..zones {
                 self.observe(index, to, flow[to], load[to]);
             }
@@ -94,7 +94,7 @@
         let failures = if self.is_broken(coordinator, to) {
             1.0
         } else {
-            USUAL_FAILURES + (1.0 - 1.0 / utilization.max(1.0))
+            BASE_FAILURE_RATE + (1.0 - 1.0 / utilization.max(1.0))
         };
         let queueing = 1.0 / (1.0 - utilization.min(MAX_QUEUED_UTILIZATION));
         let latency_ms = self.service_ms * queueing * slowdown;
@@ -113,7 +113,7 @@
                 number::zone_index(to),
                 replica,
                 outcome,
-                number::time(elapsed),
+                number::time_from_f64(elapsed),
             );
         }
     }
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -82,7 +82,7 @@
         for copy in 0..copies {
             replicas[(shard + copy) % groups % zones] += 1;
         }
-        *shares.entry(replicas).or_default() += 1.0 / number::float(groups);
+        *shares.entry(replicas).or_default() += 1.0 / number::to_f64(groups);
     }
     let shares = shares.into_iter();
     shares
@@ -108,10 +108,10 @@
         let copies = 2 + random::index(&mut rng, 2);
         let topology = Topology {
             zones: (0..count).map(zone).collect(),
-            replicas: vec![number::small(replicas); count],
+            replicas: vec![number::to_u32(replicas); count],
             placements: placements(count, replicas * count, copies),
         };
-        let capacity = vec![replica_capacity * number::float(replicas); count];
+        let capacity = vec![replica_capacity * number::to_f64(replicas); count];
         // From nearly idle to a high utilization.
         let utilization = 0.15 + 0.45 * rng.rand_float();
         let demand = capacity
@@ -119,7 +119,7 @@
             .map(|capacity| capacity * utilization * (0.8 + 0.4 * rng.rand_float()))
             .collect();
         let fault = Fault::random(count, &mut rng);
-        let observers = 3 + random::index(&mut rng, 8);
+        let coordinators_per_zone = 3 + random::index(&mut rng, 8);
         let names = topology
             .zones
             .iter()
@@ -136,7 +136,9 @@
             now: START,
             seed,
             controller: controller(&topology, None, START),
-            coordinators: (0..count * observers).map(coordinator).collect(),
+            coordinators: (0..count * coordinators_per_zone)
+                .map(coordinator)
+                .collect(),
             table: None,
             rng,
             topology,
@@ -155,7 +157,7 @@
     }
 
     /// Records a violation.
-    pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
+    pub(super) fn record_violation(&mut self, invariant: Invariant, details: &str) {
         let seconds = number::seconds(self.now);
         let (schedule, fault) = (self.seed, self.fault);
         self.violations.push(format!(
@@ -168,6 +170,6 @@
         let from = self.coordinators[coordinator].zone;
         // The first coordinator of each zone is affected.
         let is_isolated = coordinator < self.topology.zones.len();
-        self.fault_is_active && self.fault.breaks(from, to, is_isolated)
+        self.fault_is_active && self.fault.breaks_route(from, to, is_isolated)
     }
 }
