--- a/crates/linenthread-simulation/src/commands/arguments.rs
+++ b/crates/linenthread-simulation/src/commands/arguments.rs
@@ -37,11 +37,11 @@
 }
 
 /// Returns the path of the program under test: the given one, else `linenthread` in this program's folder.
-pub(super) fn program_path(given: Option<&PathBuf>) -> String {
-    let beside = || Some(std::env::current_exe().ok()?.with_file_name("linenthread"));
-    given
+pub(super) fn program_path(option: Option<&PathBuf>) -> String {
+    let sibling = || Some(std::env::current_exe().ok()?.with_file_name("linenthread"));
+    option
         .cloned()
-        .or_else(beside)
+        .or_else(sibling)
         .unwrap_or_else(|| "linenthread".into())
         .to_string_lossy()
         .into_owned()
--- a/crates/linenthread-simulation/src/commands/outcome.rs
+++ b/crates/linenthread-simulation/src/commands/outcome.rs
@@ -14,7 +14,7 @@
     exit_code(violations)
 }
 
-/// Returns failure if there were violations.
+/// Returns the exit code: failure if there were violations, else success.
 pub(super) fn exit_code(violations: usize) -> ExitCode {
     if violations == 0 {
         ExitCode::SUCCESS
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -72,7 +72,7 @@
     let scenario = &options.scenario;
     let chosen = scenarios::ALL
         .iter()
-        .filter(|one| scenario == ALL || scenario == one.name);
+        .filter(|candidate| scenario == ALL || scenario == candidate.name);
     let mut summary = RunSummary::default();
     for Scenario { name, run } in chosen {
         for seed in (options.seed..).take(options.rounds) {
--- a/crates/linenthread-simulation/src/failover/statistics.rs
+++ b/crates/linenthread-simulation/src/failover/statistics.rs
@@ -27,8 +27,8 @@
 pub(super) struct Runs(pub(super) Vec<Totals>);
 
 impl Runs {
-    fn sum(&self, of: fn(&Totals) -> f64) -> f64 {
-        self.0.iter().map(of).sum()
+    fn sum(&self, counter: fn(&Totals) -> f64) -> f64 {
+        self.0.iter().map(counter).sum()
     }
 
     /// Returns the share of queries that were served.
--- a/crates/linenthread-simulation/src/fleet/event.rs
+++ b/crates/linenthread-simulation/src/fleet/event.rs
@@ -51,7 +51,7 @@
     Start(ProcessIndex),
     /// A paused process resumes.
     Resume(ProcessIndex),
-    /// A random process crashes and restarts immediately.
+    /// A random process crashes and restarts within 50 ms.
     Restart,
     /// All partitions end.
     Heal,
--- a/crates/linenthread-simulation/src/fleet/faults.rs
+++ b/crates/linenthread-simulation/src/fleet/faults.rs
@@ -129,7 +129,7 @@
         self.call_process(index, Fleet::wake);
     }
 
-    /// Crashes a random process, which restarts after a few milliseconds.
+    /// Crashes a random process, which restarts after 1 to 50 ms.
     pub(super) fn restart_random(&mut self) {
         let index = self.random_process();
         self.crash(index, false);
--- a/crates/linenthread-simulation/src/fleet/invariant.rs
+++ b/crates/linenthread-simulation/src/fleet/invariant.rs
@@ -9,7 +9,7 @@
     OneValuePerNumber,
     /// At no time do two running processes hold the lease.
     OneLeader,
-    /// A voter that lost its disk never uses its former identity again.
+    /// A voter that lost its disk never votes under its former identity.
     NewDiskNewIdentity,
     /// A process can start from any state that its disk was left in.
     Restarts,
--- a/crates/linenthread-simulation/src/fleet/mod.rs
+++ b/crates/linenthread-simulation/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Checks fleets of co-ordinators in simulated time: membership by gossip, and the state that voters replicate.
 //!
 //! Leaders propose values on two topics. Faults ([`faults`]): processes crash, with or without the loss of their disk,
-//! restart immediately, and pause for longer than a lease; pairs and groups are partitioned, in one direction or both;
+//! restart within 50 ms, and pause for longer than a lease; pairs and groups are partitioned, in one direction or both;
 //! disks fail to sync or are full; datagrams are lost, and latencies are high. All clocks run at slightly different
 //! rates. Faults end after 40 s, and the fleet has 25 s to recover.
 //!
@@ -9,7 +9,7 @@
 //! | --- | --- |
 //! | one-value-per-number | no two different values are committed under the same topic and number |
 //! | one-leader | at no time do two running processes hold the lease |
-//! | new-disk-new-identity | a voter that lost its disk never uses its former identity again |
+//! | new-disk-new-identity | a voter that lost its disk never votes under its former identity |
 //! | restarts | a process can start from any state that its disk was left in |
 //! | commits | if values are proposed, at least one is committed |
 //! | recovers | after the faults there is one leader, all voters vote, all know all members and the newest values |
--- a/crates/linenthread-simulation/src/fleet/statistics.rs
+++ b/crates/linenthread-simulation/src/fleet/statistics.rs
@@ -20,7 +20,8 @@
 
 /// Prints the sums of all counters, and percentiles of the recovery time.
 pub(super) fn print_summary(outcomes: &[Outcome]) {
-    let sum = |of: fn(&Totals) -> u64| -> u64 { outcomes.iter().map(|o| of(&o.totals)).sum() };
+    let sum =
+        |counter: fn(&Totals) -> u64| -> u64 { outcomes.iter().map(|o| counter(&o.totals)).sum() };
     let recovery = outcomes
         .iter()
         .map(|o| o.totals.recovered_after - STABLE_TIME);
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -215,12 +215,12 @@
     let (early, late): (Vec<_>, Vec<_>) = results
         .iter()
         .partition(|result| result.scheduled_at < before);
-    let percent = |of: &[&QueryResult]| {
-        let succeeded = of
+    let percent = |results: &[&QueryResult]| {
+        let succeeded = results
             .iter()
             .filter(|result| result.status == Some(200))
             .count();
-        number::percent(succeeded, of.len())
+        number::percent(succeeded, results.len())
     };
     println!(
         "one of two gateways killed: {:.1}% succeeded before, {:.1}% after",
@@ -245,22 +245,22 @@
             ..SLOW_REPLICAS
         },
     );
-    let (slow, each) = (Duration::from_millis(20), Duration::from_secs(2));
+    let (delay, phase_duration) = (Duration::from_millis(20), Duration::from_secs(2));
     let load = SteadyLoad {
         tag: "best".to_owned(),
         indexes: vec!["find"],
         interval: Duration::from_millis(5),
-        duration: 3 * each,
+        duration: 3 * phase_duration,
     };
     let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
-        sleep(each);
-        sites.proxy.set_delay(slow);
-        sleep(each);
+        sleep(phase_duration);
+        sites.proxy.set_delay(delay);
+        sleep(phase_duration);
         sites.proxy.set_delay(Duration::ZERO);
         if let Some(second) = &sites.second {
-            second.proxy.set_delay(slow);
+            second.proxy.set_delay(delay);
         }
-        sleep(each);
+        sleep(phase_duration);
     });
     let phases = [
         "neither slow",
@@ -269,17 +269,18 @@
     ];
     for (phase, label) in (0..).zip(phases) {
         let in_phase = |result: &&QueryResult| {
-            result.scheduled_at >= each * phase && result.scheduled_at < each * (phase + 1)
+            result.scheduled_at >= phase_duration * phase
+                && result.scheduled_at < phase_duration * (phase + 1)
         };
         let all = results.iter().filter(in_phase).count();
-        let quick = results
+        let fast = results
             .iter()
             .filter(in_phase)
-            .filter(|result| result.status == Some(200) && result.latency < slow / 2)
+            .filter(|result| result.status == Some(200) && result.latency < delay / 2)
             .count();
         println!(
             "two links, {label}: {:.1}% of {all} queries within 10 ms",
-            number::percent(quick, all)
+            number::percent(fast, all)
         );
     }
     RunSummary {
--- a/crates/linenthread-simulation/src/merged/fault.rs
+++ b/crates/linenthread-simulation/src/merged/fault.rs
@@ -31,11 +31,13 @@
     }
 }
 
-/// How replicas behave. `slow` and `faults` are the shares of attempts that are slow or fail.
+/// How replicas behave.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaBehavior {
-    pub(super) slow: f64,
-    pub(super) faults: f64,
+    /// The share of attempts that take longer than a query waits.
+    pub(super) slow_share: f64,
+    /// The share of the other attempts that get a faulty outcome.
+    pub(super) fault_share: f64,
     /// Whether replicas stop, drain, are replaced and return.
-    pub(super) changes: bool,
+    pub(super) replicas_change: bool,
 }
--- a/crates/linenthread-simulation/src/merged/faults.rs
+++ b/crates/linenthread-simulation/src/merged/faults.rs
@@ -38,7 +38,11 @@
         &mut self,
         ReplicaIndex(replica): ReplicaIndex,
     ) -> (TenthMillis, DrawnOutcome) {
-        let ReplicaBehavior { slow, faults, .. } = self.behavior;
+        let ReplicaBehavior {
+            slow_share,
+            fault_share,
+            ..
+        } = self.behavior;
         if !self.is_alive[replica] {
             return (
                 2 + random::time_below(&mut self.rng, 20),
@@ -46,10 +50,10 @@
             );
         }
         let usual = 10 + number::time_from_f64(400.0 * self.rng.rand_float().powi(3));
-        if self.rng.rand_float() < slow {
+        if self.rng.rand_float() < slow_share {
             return (1_000_000, DrawnOutcome::Success);
         }
-        if self.rng.rand_float() >= faults {
+        if self.rng.rand_float() >= fault_share {
             return (usual, DrawnOutcome::Success);
         }
         let outcomes = [
--- a/crates/linenthread-simulation/src/merged/invariants.rs
+++ b/crates/linenthread-simulation/src/merged/invariants.rs
@@ -14,21 +14,21 @@
 impl World<'_> {
     /// Checks the response to a query against the full data. `completeness` is the decision module's classification.
     pub(super) fn check_response(&mut self, query: QueryIndex, completeness: Completeness) {
-        let Some(open) = self.open_queries.get(&query) else {
+        let Some(open_query) = self.open_queries.get(&query) else {
             return;
         };
-        let body = open
+        let body = open_query
             .merger
             .response(completeness, Some(&self.signer), UNIX_SECONDS);
         let response: Value = serde_json::from_slice(&body).unwrap_or_default();
         self.statistics.count(&response);
-        let client = &mut self.clients[open.client];
+        let client = &mut self.clients[open_query.client];
         let result = client
-            .check(&response, self.options.floor, open.page_size)
+            .check(&response, self.options.floor, open_query.page_size)
             .map_err(|error| {
                 Violation::new(Invariant::MatchesFullData, format!("{error}\n  {response}"))
             })
-            .and_then(|()| open.check_completeness(&response, completeness));
+            .and_then(|()| open_query.check_completeness(&response, completeness));
         if let Err(violation) = result {
             client.cursor = None;
             self.report_violation(query, &violation);
--- a/crates/linenthread-simulation/src/merged/mod.rs
+++ b/crates/linenthread-simulation/src/merged/mod.rs
@@ -64,13 +64,13 @@
     pub(crate) fn run(&self) -> RunSummary {
         let mut rng = Rand64::new(u128::from(self.seed));
         let behavior = ReplicaBehavior {
-            slow: self.slow.unwrap_or_else(|| rng.rand_float() * 0.1),
-            faults: if self.only_delays {
+            slow_share: self.slow.unwrap_or_else(|| rng.rand_float() * 0.1),
+            fault_share: if self.only_delays {
                 0.0
             } else {
                 0.02 + 0.2 * rng.rand_float()
             },
-            changes: !self.only_delays,
+            replicas_change: !self.only_delays,
         };
         let plans = plans::all();
         let statistics = World::new(self, &plans, behavior, &mut rng).run();
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -74,7 +74,7 @@
         let snapshot = MembershipUpdate::Snapshot(replicas.members.clone());
         replicas.inputs.membership.push(snapshot);
         replicas.schedule(1, Event::Wake);
-        if behavior.changes {
+        if behavior.replicas_change {
             replicas.schedule(FIRST_CHANGE, Event::MembershipChange);
         }
         replicas
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -45,8 +45,8 @@
             Decision::Send(attempt) => self.on_attempt_sent(attempt),
             Decision::Release(query) => {
                 self.free_indices.push(query);
-                let open = self.open_queries.remove(&query);
-                if open.is_some_and(|open| !open.is_completed) {
+                let open_query = self.open_queries.remove(&query);
+                if open_query.is_some_and(|open_query| !open_query.is_completed) {
                     let violation =
                         Violation::new(Invariant::OneResponseInTime, "released without a response");
                     self.report_violation(query, &violation);
--- a/crates/linenthread-simulation/src/merged/statistics.rs
+++ b/crates/linenthread-simulation/src/merged/statistics.rs
@@ -33,8 +33,8 @@
         println!(
             "slow {:.3}, faults {:.3}, floor {}: {:.1}% complete, {:.1}% partial, {:.1}% truncated, {:.1}% rejected; \
              {} continuations, {} duplicate responses",
-            behavior.slow,
-            behavior.faults,
+            behavior.slow_share,
+            behavior.fault_share,
             floor,
             percent(self.complete),
             percent(self.partial),
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -91,7 +91,7 @@
         };
         let sub_requests = self.clients[client].shards.iter().map(sub_request);
         self.replicas.inputs.sub_requests.extend(sub_requests);
-        let open = OpenQuery {
+        let open_query = OpenQuery {
             merger,
             client,
             page_size,
@@ -100,23 +100,23 @@
             attempts: BTreeMap::new(),
             requests: BTreeMap::new(),
         };
-        self.open_queries.insert(query, open);
+        self.open_queries.insert(query, open_query);
     }
 
     /// Records an attempt that the decision module has sent, and checks *bounded-attempts*.
     pub(super) fn on_attempt_sent(&mut self, attempt: Attempt) {
-        let Some(open) = self.open_queries.get_mut(&attempt.query) else {
+        let Some(open_query) = self.open_queries.get_mut(&attempt.query) else {
             return;
         };
         let SubRequestIndex(sub_request) = attempt.sub_request;
         let request = Request {
-            continuation: open.merger.continuation(sub_request),
-            text: open.merger.request_text(sub_request),
+            continuation: open_query.merger.continuation(sub_request),
+            text: open_query.merger.request_text(sub_request),
         };
-        open.requests.insert(attempt, request);
-        let attempts = open.attempts.entry(attempt.sub_request).or_default();
+        open_query.requests.insert(attempt, request);
+        let attempts = open_query.attempts.entry(attempt.sub_request).or_default();
         *attempts += 1;
-        if *attempts > MAX_ATTEMPTS || open.is_completed {
+        if *attempts > MAX_ATTEMPTS || open_query.is_completed {
             let violation = Violation::new(
                 Invariant::BoundedAttempts,
                 "a sub-request is sent too often, or after the response",
@@ -130,28 +130,34 @@
         if !self.replicas.is_in_flight(&attempt) {
             return;
         }
-        let Some(open) = self.open_queries.get_mut(&attempt.query) else {
+        let Some(open_query) = self.open_queries.get_mut(&attempt.query) else {
             return;
         };
         let Attempt {
             query, sub_request, ..
         } = attempt;
-        let request = open.requests.get(&attempt).cloned().unwrap_or_default();
+        let request = open_query
+            .requests
+            .get(&attempt)
+            .cloned()
+            .unwrap_or_default();
         let mut violation = None;
         let is_accepted = match drawn {
             DrawnOutcome::Success | DrawnOutcome::DuplicateSuccess => {
-                let value = self.clients[open.client].respond(sub_request, &request.text);
-                let accepted = open.accept_valid(sub_request, &request, &value);
+                let value = self.clients[open_query.client].respond(sub_request, &request.text);
+                let accepted = open_query.accept_valid(sub_request, &request, &value);
                 violation = accepted.violation;
                 if drawn == DrawnOutcome::DuplicateSuccess && violation.is_none() {
                     self.statistics.duplicates += 1;
-                    violation = open.accept_duplicate(sub_request, &request);
+                    violation = open_query.accept_duplicate(sub_request, &request);
                 }
                 accepted.is_accepted
             }
-            DrawnOutcome::MalformedValue => open.try_accept(sub_request, &request, INVALID_VALUE),
+            DrawnOutcome::MalformedValue => {
+                open_query.try_accept(sub_request, &request, INVALID_VALUE)
+            }
             _ => {
-                open.merger.fail(sub_request.0);
+                open_query.merger.fail(sub_request.0);
                 false
             }
         };
@@ -169,10 +175,10 @@
 
     /// Requests continuations from the decision module for the sub-requests of which the merger needs more rows.
     fn continue_sub_requests(&mut self, query: QueryIndex) {
-        let Some(open) = self.open_queries.get_mut(&query) else {
+        let Some(open_query) = self.open_queries.get_mut(&query) else {
             return;
         };
-        let continuations = open.merger.take_continuations();
+        let continuations = open_query.merger.take_continuations();
         self.statistics.continuations += continuations.len();
         let continuations = continuations.into_iter().map(|index| Continuation {
             query,
@@ -183,12 +189,12 @@
 
     /// Marks a query as completed and schedules its client's next one. Returns false if there is no such query.
     pub(super) fn on_completed(&mut self, query: QueryIndex) -> bool {
-        let Some(open) = self.open_queries.get_mut(&query) else {
+        let Some(open_query) = self.open_queries.get_mut(&query) else {
             return false;
         };
-        let was_completed = std::mem::replace(&mut open.is_completed, true);
-        let is_late = was_completed || self.replicas.now > open.hard_deadline;
-        let client = open.client;
+        let was_completed = std::mem::replace(&mut open_query.is_completed, true);
+        let is_late = was_completed || self.replicas.now > open_query.hard_deadline;
+        let client = open_query.client;
         let wait = 1 + random::time_below(&mut self.replicas.rng, 100);
         self.replicas.schedule(wait, Event::NextQuery { client });
         if is_late {
--- a/crates/linenthread-simulation/src/merging_speed.rs
+++ b/crates/linenthread-simulation/src/merging_speed.rs
@@ -16,7 +16,7 @@
 use crate::number;
 use crate::run_summary::RunSummary;
 
-/// Rows on a page.
+/// The number of rows on a page.
 const PAGE_SIZE: usize = 100;
 /// The number of queries between two readings of the clock.
 const QUERIES_PER_ROUND: u32 = 2_000;
--- a/crates/linenthread-simulation/src/zones/fault.rs
+++ b/crates/linenthread-simulation/src/zones/fault.rs
@@ -7,7 +7,7 @@
 /// The fault that is injected into a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
-    /// Only noise, for which no zone must be ejected.
+    /// No fault, only noise, for which no zone must be ejected.
     Noise,
     ZoneLost(usize),
     PairPartitioned(usize, usize),
--- a/crates/linenthread-simulation/src/zones/invariant.rs
+++ b/crates/linenthread-simulation/src/zones/invariant.rs
@@ -5,7 +5,7 @@
 /// An invariant. A violation is printed under its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Invariant {
-    /// A table sends no zone more than it can process, unless the zone gets as much while all routes are open.
+    /// A table sends no zone more than the larger of its capacity and its load with all routes open.
     WithinCapacity,
     /// No route is closed while nothing is wrong.
     LocalWhileHealthy,
--- a/crates/linenthread-simulation/src/zones/mod.rs
+++ b/crates/linenthread-simulation/src/zones/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! | invariant | what must hold |
 //! | --- | --- |
-//! | within-capacity | a table sends no zone more than it can process or gets while all routes are open |
+//! | within-capacity | a table sends no zone more than the larger of its capacity and its load with all routes open |
 //! | local-while-healthy | no route is closed while nothing is wrong |
 //! | only-faulty-closed | routes are closed as down or partitioned only where the fault is |
 //! | no-flapping | the number of times that routes are reopened is bounded |
@@ -61,7 +61,7 @@
 /// The outcome of a schedule.
 struct Outcome {
     violations: Vec<String>,
-    /// How long after its start the fault was handled; `None` if it did not have to be.
+    /// How long after its start the fault was handled; `None` if it wasn't or did not have to be.
     handled_after: Option<TenthMillis>,
 }
 
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -125,12 +125,12 @@
             .iter()
             .map(|zone| zone.name.clone())
             .collect();
-        let open = RoutingTable::open(names);
+        let open_table = RoutingTable::open(names);
         let coordinator = |n: usize| Coordinator {
             zone: n % count,
             observer: ZoneObserver::new(number::zone_index(n % count)),
             arriving: VecDeque::new(),
-            table: open.clone(),
+            table: open_table.clone(),
         };
         World {
             now: START,
