--- a/crates/linenthread-simulation/src/commands/fleet.rs
+++ b/crates/linenthread-simulation/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet`: checks the fleet's members and its agreed record.
+//! `fleet`: checks fleet membership and the replicated state of voters.
 
 use std::process::ExitCode;
 
@@ -22,5 +22,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(options.run())
+    outcome::report(options.run())
 }
--- a/crates/linenthread-simulation/src/commands/link_bytes.rs
+++ b/crates/linenthread-simulation/src/commands/link_bytes.rs
@@ -1,4 +1,4 @@
-//! `link-bytes`: checks the link, cut at every byte.
+//! `link-bytes`: checks the link by cutting the connection after every byte.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -52,7 +52,7 @@
         "{} succeeded, {} rejected, {} failed",
         verdict.succeeded, verdict.rejected, verdict.failed
     );
-    outcome::close(RunSummary {
+    outcome::report(RunSummary {
         checked: verdict.checked,
         violations: verdict.violations.len(),
     })
--- a/crates/linenthread-simulation/src/commands/members.rs
+++ b/crates/linenthread-simulation/src/commands/members.rs
@@ -1,4 +1,4 @@
-//! `members`: measures the fleet's members.
+//! `members`: measures the cost of fleet membership.
 
 use std::process::ExitCode;
 
@@ -23,5 +23,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(members::run(options.seed))
+    outcome::report(members::run(options.seed))
 }
--- a/crates/linenthread-simulation/src/commands/outcome.rs
+++ b/crates/linenthread-simulation/src/commands/outcome.rs
@@ -1,11 +1,11 @@
-//! The end of a command.
+//! The closing line and the exit code of a command.
 
 use std::process::ExitCode;
 
 use crate::run_summary::RunSummary;
 
-/// Prints the closing line; fails if there were violations.
-pub(super) fn close(summary: RunSummary) -> ExitCode {
+/// Prints the closing line and returns the exit code: failure if there were violations.
+pub(super) fn report(summary: RunSummary) -> ExitCode {
     let RunSummary {
         checked,
         violations,
@@ -14,7 +14,7 @@
     exit_code(violations)
 }
 
-/// Fails if there were violations.
+/// Returns the exit code: failure if there were violations, else success.
 pub(super) fn exit_code(violations: usize) -> ExitCode {
     if violations == 0 {
         ExitCode::SUCCESS
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -1,4 +1,4 @@
-//! `processes`: checks several processes with faults between them.
+//! `processes`: checks several real processes while faults are injected between them.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,15 +9,15 @@
 use super::{arguments, outcome};
 use crate::run_summary::RunSummary;
 
-/// The scenario of random faults.
+/// The scenario that injects random faults.
 const ZONES: &str = "zones";
-/// All scenarios but that.
+/// Selects all scenarios except [`ZONES`].
 const ALL: &str = "all";
-/// Violations of the rounds of zones that are printed.
+/// The maximum number of violations printed for [`ZONES`].
 const MAX_PRINTED_VIOLATIONS: usize = 20;
-/// Violations of one run of a scenario that are printed.
+/// The maximum number of violations printed for one run of another scenario.
 const MAX_PRINTED_VIOLATIONS_OF_SCENARIO: usize = 5;
-/// The exit code if there is no such scenario.
+/// The exit code for an unknown scenario.
 const USAGE_ERROR: u8 = 2;
 
 #[derive(Clone)]
@@ -62,7 +62,7 @@
     for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("violation: {violation}");
     }
-    outcome::close(RunSummary {
+    outcome::report(RunSummary {
         checked: report.queries,
         violations: report.violations.len(),
     })
@@ -72,7 +72,7 @@
     let scenario = &options.scenario;
     let chosen = scenarios::ALL
         .iter()
-        .filter(|one| scenario == ALL || scenario == one.name);
+        .filter(|candidate| scenario == ALL || scenario == candidate.name);
     let mut summary = RunSummary::default();
     for Scenario { name, run } in chosen {
         for seed in (options.seed..).take(options.rounds) {
@@ -92,5 +92,5 @@
         eprintln!("linenthread-simulation: there is no scenario {scenario}");
         return ExitCode::from(USAGE_ERROR);
     }
-    outcome::close(summary)
+    outcome::report(summary)
 }
--- a/crates/linenthread-simulation/src/commands/system.rs
+++ b/crates/linenthread-simulation/src/commands/system.rs
@@ -1,4 +1,4 @@
-//! `system`: checks the system's control.
+//! `system`: checks control nodes, ingress nodes and operators together.
 
 use std::process::ExitCode;
 
@@ -36,5 +36,5 @@
 }
 
 pub(super) fn run(options: &Options) -> ExitCode {
-    outcome::close(system::run(options))
+    outcome::report(system::run(options))
 }
--- a/crates/linenthread-simulation/src/failover/policy.rs
+++ b/crates/linenthread-simulation/src/failover/policy.rs
@@ -1,40 +1,40 @@
-//! The policies that are compared.
+//! The failover policies that are compared.
 
 use std::fmt;
 
-/// How routes between zones are decided.
+/// How routes between zones are determined.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Policy {
-    /// Not at all: each coordinator selects replicas by its own measurements alone.
-    SelectionAlone,
+    /// No routes between zones: each coordinator selects replicas by its own measurements only.
+    SelectionOnly,
     /// A fixed preference for the local zone.
-    FixedPreference,
-    /// Each coordinator runs a controller on its own observations.
-    EachAlone,
-    /// One controller for all, on the observations of all.
-    Common,
-    /// One that knows the true state.
+    LocalPreference,
+    /// Each coordinator runs its own controller on its own observations.
+    Independent,
+    /// One controller decides for all coordinators, on the observations of all.
+    Shared,
+    /// Routes are computed from the true state of zones and replicas.
     TrueState,
 }
 
 impl Policy {
     pub(super) const ALL: [Policy; 5] = [
-        Policy::SelectionAlone,
-        Policy::FixedPreference,
-        Policy::EachAlone,
-        Policy::Common,
+        Policy::SelectionOnly,
+        Policy::LocalPreference,
+        Policy::Independent,
+        Policy::Shared,
         Policy::TrueState,
     ];
 }
 
-/// The heading of a policy's column.
+/// Formats the heading of the policy's column.
 impl fmt::Display for Policy {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.pad(match self {
-            Policy::SelectionAlone => "selection alone",
-            Policy::FixedPreference => "local, fixed",
-            Policy::EachAlone => "each alone",
-            Policy::Common => "in common",
+            Policy::SelectionOnly => "selection alone",
+            Policy::LocalPreference => "local, fixed",
+            Policy::Independent => "each alone",
+            Policy::Shared => "in common",
             Policy::TrueState => "true state",
         })
     }
--- a/crates/linenthread-simulation/src/failover/routing.rs
+++ b/crates/linenthread-simulation/src/failover/routing.rs
@@ -1,4 +1,4 @@
-//! The decisions on routes between zones, by each policy.
+//! The routing decisions of each policy.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_zones::{Reason, Report, Route, RoutingTable, Topology, limit_to_capacity};
@@ -8,40 +8,41 @@
 use super::topology::{controller, topology, zone_names};
 use super::world::World;
 use super::{
-    CORES, FAULT_START, PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY,
-    ZONES,
+    CORES, FAULT_START, NODES_PER_ZONE, REPLICAS, SECOND, SERVICE_TIME, START,
+    SUB_REQUESTS_PER_QUERY, ZONES,
 };
 use crate::number;
 use crate::random;
 
-/// Without a leader nobody decides for so long.
-const LEADER_ELECTION: TenthMillis = 2 * SECOND;
-/// The part of its capacity up to which the true state fills a zone.
+/// How long it takes to elect a new leader; meanwhile the shared controller makes no decisions.
+const LEADER_ELECTION_TIME: TenthMillis = 2 * SECOND;
+/// The fraction of a zone's true capacity that the true-state policy uses.
 const TRUE_STATE_MARGIN: f64 = 0.95;
 
 impl World {
-    /// Collects reports and decides.
+    /// Collects the coordinators' reports and distributes a new routing table, if the policy makes one.
     pub(super) fn decide(&mut self) {
         let topology = topology(&self.replicas);
         let report = self.collect_reports(&topology);
         let table = match self.policy {
-            Policy::Common => self.decide_in_common(&report, &topology),
-            Policy::TrueState => Some(self.true_table(&topology)),
-            Policy::SelectionAlone | Policy::FixedPreference | Policy::EachAlone => None,
+            Policy::Shared => self.decide_shared(&report, &topology),
+            Policy::TrueState => Some(self.table_from_true_state(&topology)),
+            Policy::SelectionOnly | Policy::LocalPreference | Policy::Independent => None,
         };
         if let Some(table) = table {
             self.distribute(&table);
         }
     }
 
-    /// The sum of all reports that arrive; each coordinator that decides alone does so on its own.
+    /// Returns the sum of all reports except those from lost zones. Under [`Policy::Independent`], each coordinator
+    /// decides on its own report.
     fn collect_reports(&mut self, topology: &Topology) -> Report {
         let mut sum = Report::default();
         for index in 0..self.coordinators.len() {
             let node = &mut self.coordinators[index];
             let report = node.observer.report(&topology.replicas);
-            if self.policy == Policy::EachAlone {
-                self.decide_alone(index, &report, topology);
+            if self.policy == Policy::Independent {
+                self.decide_independently(index, &report, topology);
             }
             if !self.is_lost(self.coordinators[index].zone) {
                 sum.add(&report);
@@ -50,8 +51,8 @@
         sum
     }
 
-    /// One coordinator decides by its own report, for itself.
-    fn decide_alone(&mut self, index: usize, report: &Report, topology: &Topology) {
+    /// Lets a coordinator decide for itself, on its own report.
+    fn decide_independently(&mut self, index: usize, report: &Report, topology: &Topology) {
         let now = self.now;
         let node = &mut self.coordinators[index];
         let local = node.controller.get_or_insert_with(|| controller(now));
@@ -62,10 +63,10 @@
         }
     }
 
-    /// The leader decides by the reports of all, unless there is no leader.
-    fn decide_in_common(&mut self, report: &Report, topology: &Topology) -> Option<RoutingTable> {
+    /// Lets the leader decide on the reports of all coordinators. While there is no leader, the reports accumulate.
+    fn decide_shared(&mut self, report: &Report, topology: &Topology) -> Option<RoutingTable> {
         self.pending_report.add(report);
-        let elected_at = START + FAULT_START + LEADER_ELECTION;
+        let elected_at = START + FAULT_START + LEADER_ELECTION_TIME;
         let has_no_leader =
             self.fault_is_active && self.fault.loses_leader() && self.now < elected_at;
         if has_no_leader {
@@ -76,8 +77,8 @@
         self.controller.decide(self.now, 0, topology)
     }
 
-    /// The table of one that knows what works and how fast.
-    fn true_table(&self, topology: &Topology) -> RoutingTable {
+    /// Computes a table from the true state: which zones work, and how fast.
+    fn table_from_true_state(&self, topology: &Topology) -> RoutingTable {
         let mut table = RoutingTable::open(zone_names());
         for (from, row) in table.rows.iter_mut().enumerate() {
             for (to, route) in row.routes.iter_mut().enumerate() {
@@ -87,8 +88,9 @@
             }
         }
         if self.fault_is_active || self.fault_is_over {
-            let demand =
-                self.query_rate * number::float(SUB_REQUESTS_PER_QUERY) * number::float(PER_ZONE);
+            let demand = self.query_rate
+                * number::to_f64(SUB_REQUESTS_PER_QUERY)
+                * number::to_f64(NODES_PER_ZONE);
             let demand = vec![demand; ZONES];
             let capacity: Vec<f64> = (0..ZONES).map(|zone| self.true_capacity(zone)).collect();
             limit_to_capacity(topology, &demand, &capacity, &mut table.rows);
@@ -96,21 +98,22 @@
         table
     }
 
-    /// Sub-requests that a zone can truly process in a tenth of a millisecond.
+    /// Returns how many sub-requests a zone is allotted per tenth of a millisecond: [`TRUE_STATE_MARGIN`] of what its
+    /// running replicas can process.
     fn true_capacity(&self, zone: usize) -> f64 {
         let of_zone = (0..REPLICAS).filter(|index| index % ZONES == zone);
         let running = of_zone.filter(|index| self.replicas[*index].is_up);
         running
             .map(|index| {
-                TRUE_STATE_MARGIN * self.speed(index) * number::float(CORES) / SERVICE_TIME
+                TRUE_STATE_MARGIN * self.speed(index) * number::to_f64(CORES) / SERVICE_TIME
             })
             .sum()
     }
 
     /// Sends a table to all coordinators.
     fn distribute(&mut self, table: &RoutingTable) {
-        let closes = table.routes().any(|route| route.share == 0);
-        if closes && self.fault_is_active && self.totals.reaction_time.is_none() {
+        let closes_route = table.routes().any(|route| route.share == 0);
+        if closes_route && self.fault_is_active && self.totals.reaction_time.is_none() {
             self.totals.reaction_time = Some(self.now - START - FAULT_START);
         }
         for node in &mut self.coordinators {
--- a/crates/linenthread-simulation/src/failover/world.rs
+++ b/crates/linenthread-simulation/src/failover/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: coordinators, replicas and the network between them.
+//! The state of a run: coordinators, replicas and the network between them.
 
 use linenthread_core::interface::{
     MembershipEntry, MembershipUpdate, Phase, QueryIndex, ReplicaIndex, SubRequestIndex,
@@ -14,20 +14,20 @@
 use super::replica::Replica;
 use super::statistics::Totals;
 use super::topology;
-use super::{CORES, PER_ZONE, REPLICAS, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY, ZONES};
+use super::{CORES, NODES_PER_ZONE, REPLICAS, SERVICE_TIME, START, SUB_REQUESTS_PER_QUERY, ZONES};
 use crate::event_queue::EventQueue;
 use crate::number;
 
-/// The first replica's id; any number does.
+/// The id of the first replica; the value is arbitrary.
 const FIRST_REPLICA_ID: u64 = 1_000;
-/// One way within a zone.
+/// The one-way latency within a zone.
 const LOCAL_LATENCY: TenthMillis = 5;
-/// One way between zones.
+/// The one-way latency between zones.
 const REMOTE_LATENCY: TenthMillis = 25;
-/// The factor by which a slow zone is slower.
+/// The factor by which the replicas of a slow zone are slower.
 const SLOWDOWN: f64 = 6.0;
 
-/// One attempt of a sub-request.
+/// An attempt of a sub-request.
 pub(super) struct Attempt {
     pub(super) coordinator: usize,
     pub(super) query: QueryIndex,
@@ -36,11 +36,11 @@
     pub(super) replica: usize,
     pub(super) sent_at: TenthMillis,
     pub(super) is_over: bool,
-    /// The replica's queue as it arrived.
+    /// The length of the replica's queue when the attempt arrived.
     pub(super) queue_depth: u32,
 }
 
-/// One run.
+/// The state of a run.
 pub(super) struct World {
     pub(super) now: TenthMillis,
     pub(super) policy: Policy,
@@ -51,10 +51,10 @@
     pub(super) replicas: Vec<Replica>,
     pub(super) coordinators: Vec<CoordinatorNode>,
     pub(super) membership_updates: Vec<Vec<MembershipEntry>>,
-    /// Queries in a tenth of a millisecond at one coordinator.
+    /// Queries per tenth of a millisecond at one coordinator.
     pub(super) query_rate: f64,
     pub(super) controller: FailoverController,
-    /// Reports for the leader while there is none.
+    /// The sum of the reports that the leader has not processed yet.
     pub(super) pending_report: Report,
     pub(super) fault_is_active: bool,
     pub(super) fault_is_over: bool,
@@ -62,13 +62,13 @@
 }
 
 impl World {
-    /// A world in which no query has been made yet.
+    /// Creates the state before the first query.
     pub(super) fn new(policy: Policy, fault: Fault, utilization: f64, seed: u64) -> World {
-        let capacity = number::float(REPLICAS) * number::float(CORES) / SERVICE_TIME;
-        let coordinators = ZONES * PER_ZONE;
+        let capacity = number::to_f64(REPLICAS) * number::to_f64(CORES) / SERVICE_TIME;
+        let coordinators = ZONES * NODES_PER_ZONE;
         let query_rate = capacity * utilization
-            / number::float(SUB_REQUESTS_PER_QUERY)
-            / number::float(coordinators);
+            / number::to_f64(SUB_REQUESTS_PER_QUERY)
+            / number::to_f64(coordinators);
         let mut world = World {
             now: START,
             policy,
@@ -94,7 +94,7 @@
         for node in &mut world.coordinators {
             let snapshot = MembershipUpdate::Snapshot(members.clone());
             node.inputs.membership.push(snapshot);
-            if policy != Policy::SelectionAlone {
+            if policy != Policy::SelectionOnly {
                 node.inputs.zone_routes = Some(zone_routes(node.zone, None));
             }
         }
@@ -104,7 +104,7 @@
     pub(super) fn membership_entry(&self, replica: usize, phase: Phase) -> MembershipEntry {
         MembershipEntry {
             replica: ReplicaIndex(replica),
-            id: FIRST_REPLICA_ID + number::count(replica),
+            id: FIRST_REPLICA_ID + number::to_u64(replica),
             replica_group: replica,
             zone: replica % ZONES,
             phase,
@@ -113,27 +113,27 @@
         }
     }
 
-    /// Schedules an event, for the next moment at the earliest.
+    /// Schedules an event after `wait`, but a tenth of a millisecond from now at the earliest.
     pub(super) fn schedule(&mut self, wait: TenthMillis, event: Event) {
         self.events.push(self.now + wait.max(1), event);
     }
 
-    /// Whether a zone is lost now.
+    /// Reports whether a zone is currently lost.
     pub(super) fn is_lost(&self, zone: usize) -> bool {
         self.fault_is_active && self.fault.loses(zone)
     }
 
-    /// Whether two zones cannot reach each other now.
+    /// Reports whether two zones currently cannot reach each other.
     pub(super) fn is_partitioned(&self, a: usize, b: usize) -> bool {
         self.fault_is_active && self.fault.partitions(a, b)
     }
 
-    /// Whether a coordinator and a replica cannot reach each other.
+    /// Reports whether a coordinator and a replica cannot reach each other.
     pub(super) fn is_unreachable(&self, coordinator: usize, replica: usize) -> bool {
         self.is_partitioned(self.coordinators[coordinator].zone, replica % ZONES)
     }
 
-    /// One way between a coordinator and a replica.
+    /// Returns the one-way latency between a coordinator and a replica.
     pub(super) fn latency(&self, coordinator: usize, replica: usize) -> TenthMillis {
         if self.coordinators[coordinator].zone == replica % ZONES {
             LOCAL_LATENCY
@@ -142,10 +142,10 @@
         }
     }
 
-    /// The speed of a replica as a part of its full speed.
+    /// Returns the current speed of a replica as a fraction of its full speed.
     pub(super) fn speed(&self, replica: usize) -> f64 {
         let is_slow = self.fault_is_active && self.fault.slows(replica % ZONES);
         let slowdown = if is_slow { SLOWDOWN } else { 1.0 };
-        self.replicas[replica].warmth(self.now) / slowdown
+        self.replicas[replica].warm_up_speed(self.now) / slowdown
     }
 }
--- a/crates/linenthread-simulation/src/fleet/connections.rs
+++ b/crates/linenthread-simulation/src/fleet/connections.rs
@@ -1,20 +1,20 @@
-//! Connections between processes, and the bytes and datagrams on their way.
+//! Opens and closes connections between processes, and carries their bytes and datagrams.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::ConnectionId;
 
 use super::SECOND;
 use super::event::{Event, LinkNumber, ProcessIndex, Side};
-use super::network::{End, Sides};
+use super::network::{LinkEnd, Sides};
 use super::world::World;
 
-/// How long a connection attempt into a partition takes.
+/// The time after which a connection attempt across a partition fails.
 const CONNECT_TIMEOUT: TenthMillis = 10 * SECOND;
-/// How long a connection attempt takes that is refused.
+/// The time after which a refused connection attempt fails.
 const REFUSE_LATENCY: TenthMillis = 10;
 
 impl World {
-    /// A connection attempt arrives: it is accepted, refused, or lost in a partition.
+    /// Handles a connection attempt, which is accepted, refused, or lost in a partition.
     pub(super) fn on_connect(
         &mut self,
         from: ProcessIndex,
@@ -24,7 +24,7 @@
         let is_partitioned =
             self.network.is_partitioned(from, to) || self.network.is_partitioned(to, from);
         let both_run = self.processes[from].fleet.is_some() && self.processes[to].fleet.is_some();
-        let connecting = End {
+        let connecting = LinkEnd {
             process: from,
             connection,
         };
@@ -37,7 +37,7 @@
             REFUSE_LATENCY
         };
         let link = self.events.next_number();
-        let accepting = End {
+        let accepting = LinkEnd {
             process: to,
             connection: ConnectionId(0),
         };
@@ -50,8 +50,8 @@
         self.schedule(wait, Event::Closed { link, side });
     }
 
-    /// Whether a process accepts a connection.
-    fn accept(&mut self, connecting: End, to: ProcessIndex) -> bool {
+    /// Offers a connection to a process, and reports whether it was accepted.
+    fn accept(&mut self, connecting: LinkEnd, to: ProcessIndex) -> bool {
         let link = self.events.next_number();
         let process = &mut self.processes[to];
         let now = process.local_time(self.now);
@@ -62,8 +62,8 @@
         let Some(connection) = fleet.on_accepted(now, &mut actions) else {
             return false;
         };
-        // The link is there before anything is sent over it.
-        let accepting = End {
+        // The link must exist before the actions send anything over it.
+        let accepting = LinkEnd {
             process: to,
             connection,
         };
@@ -76,27 +76,27 @@
         true
     }
 
-    /// Bytes arrive at a side of a link.
+    /// Delivers bytes to a side of a link.
     pub(super) fn on_bytes(&mut self, link: LinkNumber, side: Side, bytes: &[u8]) {
         if let Some(end) = self.network.current_end(link, side) {
-            self.call(end.process, |fleet, now, actions| {
+            self.call_process(end.process, |fleet, now, actions| {
                 fleet.on_received(now, end.connection, bytes, actions);
             });
         }
     }
 
-    /// A side of a link learns that the other has closed it.
+    /// Notifies a side of a link that the connection is closed.
     pub(super) fn on_closed(&mut self, link: LinkNumber, side: Side) {
         if let Some(end) = self.network.current_end(link, side) {
-            self.network.forget(end);
-            self.call(end.process, |fleet, now, actions| {
+            self.network.remove_end(end);
+            self.call_process(end.process, |fleet, now, actions| {
                 fleet.on_closed(now, end.connection, actions);
             });
         }
-        self.network.remove_if_over(link);
+        self.network.remove_if_closed(link);
     }
 
-    /// A process closes a link; the other side learns of it, if anything reaches it.
+    /// Closes a link for a process. The other side is notified, unless a partition prevents it.
     pub(super) fn close_link(&mut self, link: LinkNumber, process: ProcessIndex) {
         if let Some(side) = self.network.close(link, process) {
             let latency = self.latency();
@@ -104,10 +104,10 @@
         }
     }
 
-    /// A process sends bytes on a connection.
-    pub(super) fn send(&mut self, at: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
-        let from = End {
-            process: at,
+    /// Sends bytes on a connection of a process.
+    pub(super) fn send(&mut self, index: ProcessIndex, connection: ConnectionId, bytes: Vec<u8>) {
+        let from = LinkEnd {
+            process: index,
             connection,
         };
         let Some(link) = self.network.link_at(from) else {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A process sends a datagram, which may be lost.
+    /// Sends a datagram, which is lost in a partition or at random.
     pub(super) fn send_datagram(&mut self, from: ProcessIndex, to: ProcessIndex, bytes: Vec<u8>) {
         if !self.network.is_partitioned(from, to) && self.rng.rand_float() >= self.network.loss {
             let latency = self.latency();
--- a/crates/linenthread-simulation/src/fleet/simulation.rs
+++ b/crates/linenthread-simulation/src/fleet/simulation.rs
@@ -1,4 +1,4 @@
-//! One schedule from its start to its end, event by event.
+//! A schedule from start to end, event by event.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_fleet::Fleet;
@@ -8,25 +8,25 @@
 use super::world::{MAX_VIOLATIONS, World};
 use super::{FAULTS_END, Outcome, RECOVERY_TIME, SECOND, STABLE_TIME};
 
-/// How often [`World::run_until`] checks whether to stop.
+/// The minimum time between two checks of [`World::run_until`] whether to stop.
 const STOP_CHECK_INTERVAL: TenthMillis = 1_000;
 
 impl World {
-    /// Runs a schedule.
+    /// Runs the schedule and returns its outcome.
     pub(super) fn run(mut self) -> Outcome {
-        for at in 0..self.processes.len() {
+        for index in 0..self.processes.len() {
             let wait = self.random_time(0..20_000);
-            self.schedule(wait, Event::Start(at));
+            self.schedule(wait, Event::Start(index));
         }
         self.schedule(SECOND, Event::Propose);
-        // Faults may be injected while the fleet is founded.
+        // Faults may be injected even while the fleet is being bootstrapped.
         let first = self.random_time(0..100_000);
         self.schedule(first, Event::Fault);
         self.run_until(FAULTS_END, |_| false);
         self.end_faults();
         self.run_recovery();
         if self.proposals > 0 && self.committed.is_empty() {
-            self.violated(Invariant::Commits, "no value was ever committed");
+            self.record_violation(Invariant::Commits, "no value was ever committed");
         }
         Outcome {
             violations: self.violations,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Runs on after all faults until the fleet is complete, and stays so.
+    /// Runs after the end of all faults until the fleet is complete and stays complete for [`STABLE_TIME`].
     fn run_recovery(&mut self) {
         let started_at = self.now;
         let mut complete_since = None;
@@ -50,14 +50,14 @@
             let cause = self.why_incomplete();
             let cause = cause.unwrap_or_else(|| "it does not last".into());
             let seconds = RECOVERY_TIME / SECOND;
-            self.violated(
+            self.record_violation(
                 Invariant::Recovers,
                 &format!("not complete {seconds} s after all faults ended: {cause}"),
             );
         }
     }
 
-    /// Handles events until a time, or until `stop` returns true, which is returned.
+    /// Handles events until `end` or until `stop` returns true. Returns whether `stop` did.
     pub(super) fn run_until(
         &mut self,
         end: TenthMillis,
@@ -80,18 +80,18 @@
         false
     }
 
-    /// Handles an event; it waits if the process that it arrives at is paused.
+    /// Handles an event, or keeps it for later if the receiving process is paused.
     pub(super) fn handle(&mut self, event: Event) {
         let receiver = self.receiver(&event);
-        if let Some(at) = receiver.filter(|at| self.processes[*at].is_paused) {
-            self.processes[at].waiting.push(event);
+        if let Some(index) = receiver.filter(|index| self.processes[*index].is_paused) {
+            self.processes[index].waiting.push(event);
             return;
         }
         match event {
-            Event::Wake(at, timer) => {
-                if self.processes[at].timer == timer {
-                    self.processes[at].wake_at = TenthMillis::MAX;
-                    self.call(at, Fleet::wake);
+            Event::Wake(index, timer) => {
+                if self.processes[index].timer == timer {
+                    self.processes[index].wake_at = TenthMillis::MAX;
+                    self.call_process(index, Fleet::wake);
                 }
             }
             Event::Connect {
@@ -102,12 +102,12 @@
             Event::Bytes { link, side, bytes } => self.on_bytes(link, side, &bytes),
             Event::Closed { link, side } => self.on_closed(link, side),
             Event::Datagram { to, bytes } => {
-                self.call(to, |fleet, now, actions| {
+                self.call_process(to, |fleet, now, actions| {
                     fleet.on_datagram(now, &bytes, actions);
                 });
             }
-            Event::Start(at) => self.start(at),
-            Event::Resume(at) => self.resume(at),
+            Event::Start(index) => self.start(index),
+            Event::Resume(index) => self.resume(index),
             Event::Restart => self.restart_random(),
             Event::Heal => self.network.partitions.clear(),
             Event::Fault => self.inject_fault(),
--- a/crates/linenthread-simulation/src/link/execution.rs
+++ b/crates/linenthread-simulation/src/link/execution.rs
@@ -1,4 +1,4 @@
-//! Performs what the two ends request.
+//! Performs the actions that the two ends request.
 
 use linenthread_core::interface::TenthMillis;
 use linenthread_link::{ClientAction, ServerAction};
@@ -8,13 +8,13 @@
 use super::world::World;
 
 impl World {
-    /// Performs what the client requests, and sets its timer.
-    pub(super) fn perform_client(&mut self, actions: Vec<ClientAction>) {
+    /// Performs the client's actions and sets its timer.
+    pub(super) fn perform_client_actions(&mut self, actions: Vec<ClientAction>) {
         for action in actions {
             match action {
                 ClientAction::Connect => self.connect(),
-                ClientAction::Close(reason) => self.close(&reason),
-                ClientAction::Send(frame) => self.write(frame),
+                ClientAction::Close(reason) => self.close_connection(&reason),
+                ClientAction::Send(frame) => self.schedule_write(frame),
                 ClientAction::CallCompleted {
                     id, outcome, value, ..
                 } => self.on_completed(id, outcome, &value),
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Performs what the server requests, and sets its timer.
-    pub(super) fn perform_server(&mut self, actions: Vec<ServerAction>) {
+    /// Performs the server's actions and sets its timer.
+    pub(super) fn perform_server_actions(&mut self, actions: Vec<ServerAction>) {
         for action in actions {
             match action {
                 ServerAction::Send { connection, frame } => {
--- a/crates/linenthread-simulation/src/link/simulation.rs
+++ b/crates/linenthread-simulation/src/link/simulation.rs
@@ -1,4 +1,4 @@
-//! One schedule from its start to its end, event by event.
+//! A schedule from start to end, event by event.
 
 use linenthread_link::Frame;
 
@@ -7,28 +7,28 @@
 use super::network::Direction;
 use super::statistics::Statistics;
 use super::world::World;
-use super::{LAST_CALL, LENGTH, MILLISECOND, START};
+use super::{CALL_PERIOD, MILLISECOND, SCHEDULE_DURATION, START};
 
 impl World {
-    /// Runs the schedule to its end, or to its first violation, which is returned.
+    /// Runs the schedule to its end or its first violation, which is returned.
     pub(super) fn run(mut self, statistics: &mut Statistics) -> Option<Violation> {
         self.schedule(0, Event::ClientTimeout);
         self.schedule(0, Event::ServerTimeout);
         self.schedule(0, Event::MakeCall);
         self.schedule(200 * MILLISECOND, Event::Fault);
         while self.violation.is_none()
-            && let Some((at, event)) = self.events.pop_by(START + LENGTH)
+            && let Some((at, event)) = self.events.pop_by(START + SCHEDULE_DURATION)
         {
             self.now = at;
             self.handle(event);
         }
         statistics.false_alarms += self.false_alarms;
         statistics.detection_times.append(&mut self.detection_times);
-        self.check_end(statistics);
+        self.check_calls(statistics);
         self.violation
     }
 
-    /// Handles an event, performs what the ends request then, and checks the limits.
+    /// Handles an event, performs the resulting actions of the two ends, and checks the limits.
     fn handle(&mut self, event: Event) {
         let now = self.now;
         let (mut client_actions, mut server_actions) = (Vec::new(), Vec::new());
@@ -39,13 +39,13 @@
             Event::ServerTimeout => self.server.on_timeout(now, &mut server_actions),
             Event::Connected { connection, open } if self.connections.is_current(connection) => {
                 if open {
-                    self.open(connection, &mut server_actions);
+                    self.open_connection(connection, &mut server_actions);
                 } else {
                     self.connections.current = None;
                     self.client.on_disconnected(now, &mut client_actions);
                 }
             }
-            // What is not written when the client has lost its connection never is.
+            // Frames that have not been written when the client loses its connection are never written.
             Event::Written { connection, frame } if self.connections.is_current(connection) => {
                 if let Frame::Call(request) = &frame {
                     self.client.on_call_written(request.number);
@@ -68,7 +68,7 @@
                 self.connections.current = None;
                 self.client.on_disconnected(now, &mut client_actions);
             }
-            // Frames that were on their way before the end arrive before it.
+            // Frames that were sent before the connection was closed arrive before the server is notified.
             Event::ServerDisconnected(connection) => self.server.on_disconnected(now, connection),
             Event::CallRan {
                 incarnation,
@@ -78,13 +78,13 @@
                 self.server
                     .on_call_completed(session, outcome, &mut server_actions);
             }
-            Event::MakeCall if now < START + LAST_CALL => self.make_call(&mut client_actions),
-            Event::Deadline(id) => self.give_up(id, &mut client_actions),
+            Event::MakeCall if now < START + CALL_PERIOD => self.make_call(&mut client_actions),
+            Event::Deadline(id) => self.withdraw_call(id, &mut client_actions),
             Event::Fault => self.inject_fault(),
             _ => {}
         }
-        self.perform_client(client_actions);
-        self.perform_server(server_actions);
+        self.perform_client_actions(client_actions);
+        self.perform_server_actions(server_actions);
         self.check_limits();
     }
 }
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -1,5 +1,5 @@
-//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Outages are checked, too:
-//! violations are those of the checker of `linenthread-fakes`.
+//! Benchmark of a link between sites, on loopback sockets with the real program at both ends. Queries during outages
+//! are verified by the checker of `linenthread-fakes`, which reports the violations.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -16,14 +16,14 @@
 use crate::number;
 use crate::run_summary::RunSummary;
 
-/// Queries made one after another, directly and across the link each.
+/// The number of queries made directly, and of those made across the link, in alternation.
 const ALTERNATING_QUERIES: usize = 1_000;
-/// How long queries are made as fast as they are answered.
+/// How long a throughput measurement lasts.
 const THROUGHPUT_RUN: Duration = Duration::from_secs(3);
-/// The time between two non-idempotent queries around an outage.
+/// The interval between the non-idempotent queries made before, during and after a fault.
 const QUERY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The default settings, but for a session time-out longer than any cut, and slow replicas.
+/// The default settings, except for slow replicas and a session timeout longer than any outage.
 const SLOW_REPLICAS: SitesConfig = SitesConfig {
     session_timeout: Duration::from_secs(15),
     down_delay: Duration::from_millis(250),
@@ -31,27 +31,27 @@
     second_gateway: false,
 };
 
-/// A quantile of the times, which are sorted for that.
+/// Sorts the times and returns a quantile.
 fn quantile(times: &mut [f64], share: f64) -> f64 {
     times.sort_by(f64::total_cmp);
-    times[number::position(times.len() - 1, share)]
+    times[number::quantile_index(times.len() - 1, share)]
 }
 
-/// Makes a query; the status of its answer, if one arrives.
+/// Makes a query and returns the status of the response, if one arrives.
 fn query(client: &mut Client, index: &str, id: &str) -> Option<u16> {
     client.query(index, id, &[1]);
     client.response().map(|response| response.status)
 }
 
-/// Measures the latency of queries made in turn at the gateway's own ingress and across the link.
+/// Measures the latency of queries made alternately at the gateway's own ingress and across the link.
 fn measure_latency(sites: &Sites) {
     let mut times = [Vec::new(), Vec::new()];
     let mut clients = [&sites.gateway, &sites.local].map(linenthread_fakes::Service::connect);
     for n in 0..ALTERNATING_QUERIES {
-        for (which, client) in clients.iter_mut().enumerate() {
+        for (target, client) in clients.iter_mut().enumerate() {
             let begin = Instant::now();
-            if query(client, "find", &format!("lat{which}-{n}")) == Some(200) {
-                times[which].push(begin.elapsed().as_secs_f64() * 1e6);
+            if query(client, "find", &format!("lat{target}-{n}")) == Some(200) {
+                times[target].push(begin.elapsed().as_secs_f64() * 1e6);
             }
         }
     }
@@ -65,7 +65,7 @@
     );
 }
 
-/// The CPU time of a process in seconds.
+/// Returns the CPU time of a process in seconds.
 fn cpu_seconds(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat
@@ -83,21 +83,25 @@
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// Measures queries a second with so many in flight, and the CPU time of each.
-fn measure_throughput(address: SocketAddr, in_flight: usize, processes: &[u32], what: &str) {
-    let (done, over) = (AtomicUsize::new(0), AtomicBool::new(false));
+/// Measures queries per second with `in_flight` concurrent clients, and the CPU time per query of each process.
+fn measure_throughput(address: SocketAddr, in_flight: usize, processes: &[u32], label: &str) {
+    let (completed, stop) = (AtomicUsize::new(0), AtomicBool::new(false));
     let before: Vec<f64> = processes.iter().map(|id| cpu_seconds(*id)).collect();
     let begin = Instant::now();
     scope(|threads| {
-        for one in 0..in_flight {
-            let (done, over) = (&done, &over);
+        for worker in 0..in_flight {
+            let (completed, stop) = (&completed, &stop);
             threads.spawn(move || {
                 let mut client = Client::connect(address);
                 let mut n = 0;
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     n += 1;
-                    match query(&mut client, "find", &format!("{what}{in_flight}-{one}-{n}")) {
-                        Some(200) => drop(done.fetch_add(1, Ordering::Relaxed)),
+                    match query(
+                        &mut client,
+                        "find",
+                        &format!("{label}{in_flight}-{worker}-{n}"),
+                    ) {
+                        Some(200) => drop(completed.fetch_add(1, Ordering::Relaxed)),
                         Some(503) => sleep(Duration::from_millis(20)),
                         _ => client = Client::connect(address),
                     }
@@ -105,42 +109,45 @@
             });
         }
         sleep(THROUGHPUT_RUN);
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
     });
-    let (elapsed, done) = (
+    let (elapsed, completed) = (
         begin.elapsed().as_secs_f64(),
-        done.load(Ordering::Relaxed).max(1),
+        completed.load(Ordering::Relaxed).max(1),
     );
-    let spent: Vec<String> = processes
+    let cpu_times: Vec<String> = processes
         .iter()
         .zip(before)
         .map(|(id, before)| {
             format!(
                 "{:.0}",
-                (cpu_seconds(*id) - before) * 1e6 / number::float(done)
+                (cpu_seconds(*id) - before) * 1e6 / number::to_f64(completed)
             )
         })
         .collect();
     println!(
-        "{what}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
-        number::float(done) / elapsed,
-        spent.join(" and ")
+        "{label}, {in_flight} at once: {:.0} sub-requests a second, CPU of each {} us",
+        number::to_f64(completed) / elapsed,
+        cpu_times.join(" and ")
     );
 }
 
-/// How long after the link was restored the first query was made that succeeded, in milliseconds; -1 for none.
+/// Returns how long after the link was restored the first successful query was scheduled, in milliseconds; -1 if none
+/// succeeded.
 fn recovery_ms(results: &[QueryResult], restored: Duration) -> i64 {
     let answered = results
         .iter()
-        .filter(|t| t.status == Some(200) && t.scheduled_at >= restored);
+        .filter(|result| result.status == Some(200) && result.scheduled_at >= restored);
     answered
-        .map(|t| i64::try_from((t.scheduled_at - restored).as_millis()).unwrap_or(i64::MAX))
+        .map(|result| {
+            i64::try_from((result.scheduled_at - restored).as_millis()).unwrap_or(i64::MAX)
+        })
         .min()
         .unwrap_or(-1)
 }
 
-/// Prints the verdict on one run.
-fn report(what: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
+/// Prints the verdict on a run and at most five of its violations.
+fn report(label: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
     let Verdict {
         checked,
         succeeded,
@@ -149,7 +156,7 @@
         violations,
     } = verdict;
     println!(
-        "{what}: {checked} queries, {succeeded} succeeded, {rejected} rejected, {failed} failed, {} lost; recovered after {recovery_ms} ms",
+        "{label}: {checked} queries, {succeeded} succeeded, {rejected} rejected, {failed} failed, {} lost; recovered after {recovery_ms} ms",
         checked - succeeded - rejected - failed
     );
     violations
@@ -162,11 +169,11 @@
     }
 }
 
-/// Makes non-idempotent queries steadily while the link is down for so long.
-fn measure_outage(sites: &mut Sites, length: Duration, what: &str) -> RunSummary {
+/// Makes non-idempotent queries at a steady rate while the link is down for `length`.
+fn measure_outage(sites: &mut Sites, length: Duration, label: &str) -> RunSummary {
     let before = Duration::from_millis(500);
     let load = SteadyLoad {
-        tag: format!("{what}{}", length.as_millis()).replace(' ', "-"),
+        tag: format!("{label}{}", length.as_millis()).replace(' ', "-"),
         indexes: vec!["order"],
         interval: QUERY_INTERVAL,
         duration: before + length + Duration::from_secs(3),
@@ -179,16 +186,16 @@
         sites.proxy.set_upstream(Some(sites.link_address));
     });
     report(
-        &format!("{what}, link down for {} ms", length.as_millis()),
+        &format!("{label}, link down for {} ms", length.as_millis()),
         &verdict,
         recovery_ms(&results, before + length),
     )
 }
 
 /// Kills one of two gateways to the same replicas under load.
-fn measure_gateway_failure(exe: &str) -> RunSummary {
+fn measure_gateway_failure(program: &str) -> RunSummary {
     let mut sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             second_gateway: true,
             ..SLOW_REPLICAS
@@ -205,10 +212,15 @@
         sleep(before);
         sites.gateway.signal("-KILL");
     });
-    let (early, late): (Vec<_>, Vec<_>) = results.iter().partition(|t| t.scheduled_at < before);
-    let percent = |of: &[&QueryResult]| {
-        let succeeded = of.iter().filter(|t| t.status == Some(200)).count();
-        number::percent(succeeded, of.len())
+    let (early, late): (Vec<_>, Vec<_>) = results
+        .iter()
+        .partition(|result| result.scheduled_at < before);
+    let percent = |results: &[&QueryResult]| {
+        let succeeded = results
+            .iter()
+            .filter(|result| result.status == Some(200))
+            .count();
+        number::percent(succeeded, results.len())
     };
     println!(
         "one of two gateways killed: {:.1}% succeeded before, {:.1}% after",
@@ -222,52 +234,53 @@
     )
 }
 
-/// Slows first one and then the other of two links: the share of queries that take no longer than on the link
-/// that is not slow, where the optimum is all of them.
-fn measure_link_choice(exe: &str) -> RunSummary {
+/// Delays first one and then the other of two links, and prints the share of queries that take no longer than on a link
+/// without delay. The optimum is 100%.
+fn measure_link_choice(program: &str) -> RunSummary {
     let mut sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             service_time: Duration::ZERO,
             second_gateway: true,
             ..SLOW_REPLICAS
         },
     );
-    let (slow, each) = (Duration::from_millis(20), Duration::from_secs(2));
+    let (delay, phase_duration) = (Duration::from_millis(20), Duration::from_secs(2));
     let load = SteadyLoad {
         tag: "best".to_owned(),
         indexes: vec!["find"],
         interval: Duration::from_millis(5),
-        duration: 3 * each,
+        duration: 3 * phase_duration,
     };
     let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
-        sleep(each);
-        sites.proxy.set_delay(slow);
-        sleep(each);
+        sleep(phase_duration);
+        sites.proxy.set_delay(delay);
+        sleep(phase_duration);
         sites.proxy.set_delay(Duration::ZERO);
         if let Some(second) = &sites.second {
-            second.proxy.set_delay(slow);
+            second.proxy.set_delay(delay);
         }
-        sleep(each);
+        sleep(phase_duration);
     });
     let phases = [
         "neither slow",
         "the first slow by 20 ms each way",
         "the second slow",
     ];
-    for (phase, what) in (0..).zip(phases) {
-        let in_phase = |t: &&QueryResult| {
-            t.scheduled_at >= each * phase && t.scheduled_at < each * (phase + 1)
+    for (phase, label) in (0..).zip(phases) {
+        let in_phase = |result: &&QueryResult| {
+            result.scheduled_at >= phase_duration * phase
+                && result.scheduled_at < phase_duration * (phase + 1)
         };
         let all = results.iter().filter(in_phase).count();
-        let quick = results
+        let fast = results
             .iter()
             .filter(in_phase)
-            .filter(|t| t.status == Some(200) && t.latency < slow / 2)
+            .filter(|result| result.status == Some(200) && result.latency < delay / 2)
             .count();
         println!(
-            "two links, {what}: {:.1}% of {all} queries within 10 ms",
-            number::percent(quick, all)
+            "two links, {label}: {:.1}% of {all} queries within 10 ms",
+            number::percent(fast, all)
         );
     }
     RunSummary {
@@ -276,7 +289,7 @@
     }
 }
 
-/// The resident memory of a process in megabytes.
+/// Returns the resident memory of a process in megabytes.
 fn resident_megabytes(id: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -285,10 +298,10 @@
         / 1024.0
 }
 
-/// Makes long queries across a link that accepts no more bytes.
-fn measure_stalled_link(exe: &str) {
+/// Measures the client's memory while long queries are made across a link that accepts no more bytes.
+fn measure_stalled_link(program: &str) {
     let sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             service_time: Duration::ZERO,
             ..SLOW_REPLICAS
@@ -297,19 +310,19 @@
     let client = sites.local.child.id();
     let before = resident_megabytes(client);
     sites.proxy.silence(Direction::ToUpstream, true);
-    let (max, over) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
+    let (max, stop) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
     scope(|threads| {
-        for one in 0..100 {
-            let (over, address) = (&over, sites.local.address);
+        for worker in 0..100 {
+            let (stop, address) = (&stop, sites.local.address);
             threads.spawn(move || {
                 let text = "x".repeat(50_000);
                 let mut n = 0;
-                while !over.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     n += 1;
                     let mut client = Client::connect(address);
                     client.send(&request_with(
                         "find",
-                        &format!("st{one}-{n}"),
+                        &format!("st{worker}-{n}"),
                         &[1],
                         &text,
                         &Value::Null,
@@ -320,10 +333,10 @@
         }
         for _ in 0..30 {
             sleep(Duration::from_millis(100));
-            let mut max = max.lock().expect("not poisoned");
+            let mut max = max.lock().expect("the lock is not poisoned");
             *max = max.max(resident_megabytes(client));
         }
-        over.store(true, Ordering::Relaxed);
+        stop.store(true, Ordering::Relaxed);
     });
     let max = max.into_inner().unwrap_or_default();
     println!(
@@ -331,10 +344,10 @@
     );
 }
 
-/// Runs all benchmarks of the program.
-pub(crate) fn run(exe: &str) -> RunSummary {
+/// Runs all benchmarks with the given program.
+pub(crate) fn run(program: &str) -> RunSummary {
     let sites = Sites::start(
-        exe,
+        program,
         SitesConfig {
             service_time: Duration::ZERO,
             ..SLOW_REPLICAS
@@ -346,25 +359,25 @@
         measure_throughput(sites.gateway.address, in_flight, &[gateway], "direct");
         measure_throughput(sites.local.address, in_flight, &[client, gateway], "across");
     }
-    measure_stalled_link(exe);
+    measure_stalled_link(program);
     let mut summary = RunSummary::default();
     let session_timeouts = [
         (Duration::from_secs(15), "resumed"),
         (Duration::from_millis(10), "not resumed"),
     ];
-    for (session_timeout, what) in session_timeouts {
+    for (session_timeout, label) in session_timeouts {
         let mut sites = Sites::start(
-            exe,
+            program,
             SitesConfig {
                 session_timeout,
                 ..SLOW_REPLICAS
             },
         );
         for ms in [50, 200, 1_000, 5_000, 10_000] {
-            summary += measure_outage(&mut sites, Duration::from_millis(ms), what);
+            summary += measure_outage(&mut sites, Duration::from_millis(ms), label);
         }
     }
-    summary += measure_gateway_failure(exe);
-    summary += measure_link_choice(exe);
+    summary += measure_gateway_failure(program);
+    summary += measure_link_choice(program);
     summary
 }
--- a/crates/linenthread-simulation/src/merged/fault.rs
+++ b/crates/linenthread-simulation/src/merged/fault.rs
@@ -1,10 +1,10 @@
-//! What can go wrong with an attempt, and how often.
+//! The faults of attempts and replicas, and their probabilities.
 
 use linenthread_core::interface::AttemptOutcome;
 
-/// What becomes of an attempt.
+/// The outcome that the simulation draws for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum AttemptFate {
+pub(super) enum DrawnOutcome {
     Success,
     DuplicateSuccess,
     MalformedValue,
@@ -16,26 +16,28 @@
     Cancelled,
 }
 
-impl AttemptFate {
-    /// The outcome that the decision module is notified of.
+impl DrawnOutcome {
+    /// Returns the outcome that is reported to the decision module.
     pub(super) fn outcome(self) -> AttemptOutcome {
         match self {
-            AttemptFate::Success | AttemptFate::DuplicateSuccess => AttemptOutcome::Success,
-            AttemptFate::MalformedValue | AttemptFate::Error => AttemptOutcome::Error,
-            AttemptFate::Rejected => AttemptOutcome::Rejected,
-            AttemptFate::ConnectFailed => AttemptOutcome::ConnectFailed,
-            AttemptFate::ConnectionLost => AttemptOutcome::ConnectionLost,
-            AttemptFate::TimedOut => AttemptOutcome::TimedOut,
-            AttemptFate::Cancelled => AttemptOutcome::Cancelled,
+            DrawnOutcome::Success | DrawnOutcome::DuplicateSuccess => AttemptOutcome::Success,
+            DrawnOutcome::MalformedValue | DrawnOutcome::Error => AttemptOutcome::Error,
+            DrawnOutcome::Rejected => AttemptOutcome::Rejected,
+            DrawnOutcome::ConnectFailed => AttemptOutcome::ConnectFailed,
+            DrawnOutcome::ConnectionLost => AttemptOutcome::ConnectionLost,
+            DrawnOutcome::TimedOut => AttemptOutcome::TimedOut,
+            DrawnOutcome::Cancelled => AttemptOutcome::Cancelled,
         }
     }
 }
 
-/// How replicas behave: shares of their attempts.
+/// How replicas behave.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaBehavior {
-    pub(super) slow: f64,
-    pub(super) faults: f64,
-    /// Replicas die, drain, restart and come back.
-    pub(super) changes: bool,
+    /// The share of attempts that take longer than a query waits.
+    pub(super) slow_share: f64,
+    /// The share of the other attempts that get a faulty outcome.
+    pub(super) fault_share: f64,
+    /// Whether replicas stop, drain, are replaced and return.
+    pub(super) replicas_change: bool,
 }
--- a/crates/linenthread-simulation/src/merged/replicas.rs
+++ b/crates/linenthread-simulation/src/merged/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas in simulated time round one decision module: they respond, fail, hang and change.
+//! The replicas in simulated time, with the decision module that sends attempts to them.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +11,21 @@
 
 use super::decision::{Attempt, Decision, DecisionLog, SentAttempt};
 use super::event::Event;
-use super::fault::{AttemptFate, ReplicaBehavior};
-use super::settings::{REPLICA_GROUPS, deployment};
+use super::fault::{DrawnOutcome, ReplicaBehavior};
+use super::settings::{REPLICA_GROUPS, coordinator_config};
 use crate::event_queue::EventQueue;
 use crate::number;
 
-/// When a run starts; not at 0, so that times before it can be computed.
+/// The simulated time at which a run starts; not 0, so that earlier times can be represented.
 const START: TenthMillis = 36_000_000;
-/// When the first replica changes.
+/// The time from the start of a run to the first change of a replica.
 const FIRST_CHANGE: TenthMillis = 20_000;
-/// The first replica's id; any number does.
+/// The id of the first replica; the value is arbitrary.
 const FIRST_REPLICA_ID: u64 = 900;
-/// What a health check takes.
+/// How long a health check takes.
 const HEALTH_CHECK_TIME: TenthMillis = 5;
 
-/// The replicas, the coordinator that sends them attempts, and the events of their simulated time.
+/// The replicas, the coordinator that sends attempts to them, and the queue of events.
 pub(super) struct SimulatedReplicas {
     pub(super) now: TenthMillis,
     pub(super) inputs: Inputs,
@@ -33,13 +33,13 @@
     pub(super) behavior: ReplicaBehavior,
     coordinator: Coordinator,
     events: EventQueue<Event>,
-    /// Attempts that have not ended, and when each was sent.
+    /// The attempts in flight, and when each was sent.
     in_flight: BTreeMap<Attempt, TenthMillis>,
-    /// How many attempts were made of each sub-request.
+    /// The number of attempts of each sub-request.
     attempt_counts: BTreeMap<(QueryIndex, SubRequestIndex), usize>,
-    /// Replicas as service discovery reports them.
+    /// The replicas as service discovery reports them.
     pub(super) members: Vec<MembershipEntry>,
-    /// By replica, whether its process runs.
+    /// Whether the process of each replica runs.
     pub(super) is_alive: Vec<bool>,
 }
 
@@ -51,7 +51,7 @@
     ) -> SimulatedReplicas {
         let entry = |n: usize| MembershipEntry {
             replica: ReplicaIndex(n),
-            id: FIRST_REPLICA_ID + number::count(n),
+            id: FIRST_REPLICA_ID + number::to_u64(n),
             replica_group: n,
             zone: n % 2,
             phase: Phase::Ready,
@@ -64,7 +64,7 @@
             inputs: Inputs::default(),
             rng: Rand64::new(u128::from(seed)),
             behavior,
-            coordinator: Coordinator::new(deployment(indexes), seed),
+            coordinator: Coordinator::new(coordinator_config(indexes), seed),
             events: EventQueue::default(),
             in_flight: BTreeMap::new(),
             attempt_counts: BTreeMap::new(),
@@ -74,19 +74,20 @@
         let snapshot = MembershipUpdate::Snapshot(replicas.members.clone());
         replicas.inputs.membership.push(snapshot);
         replicas.schedule(1, Event::Wake);
-        if behavior.changes {
+        if behavior.replicas_change {
             replicas.schedule(FIRST_CHANGE, Event::MembershipChange);
         }
         replicas
     }
 
-    /// Schedules an event so long from now.
+    /// Schedules an event `after` the current time.
     pub(super) fn schedule(&mut self, after: TenthMillis, event: Event) {
         self.events.push(self.now + after, event);
     }
 
-    /// The next events, all of one moment.
-    pub(super) fn next(&mut self) -> Vec<Event> {
+    /// Advances time to the next events and returns them; all have the same time. Changes of replicas and health checks
+    /// are handled here and not returned.
+    pub(super) fn next_events(&mut self) -> Vec<Event> {
         let Some(at) = self.events.next_at() else {
             return Vec::new();
         };
@@ -94,7 +95,7 @@
         let mut events = Vec::new();
         while let Some((_, event)) = self.events.pop_by(at) {
             match event {
-                Event::MembershipChange => self.change(),
+                Event::MembershipChange => self.change_replica(),
                 Event::HealthChecked { replica, is_alive } => {
                     let outcome = if is_alive {
                         AttemptOutcome::Success
@@ -113,8 +114,8 @@
         events
     }
 
-    /// An attempt has ended: the decision module is notified.
-    pub(super) fn complete(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
+    /// Ends an attempt and reports its outcome to the decision module.
+    pub(super) fn complete_attempt(&mut self, attempt: Attempt, outcome: AttemptOutcome) {
         if let Some(sent_at) = self.in_flight.remove(&attempt) {
             self.inputs.results.push(AttemptResult {
                 query: attempt.query,
@@ -127,12 +128,12 @@
         }
     }
 
-    /// Whether an attempt has not ended yet.
+    /// Reports whether an attempt has not ended yet.
     pub(super) fn is_in_flight(&self, attempt: &Attempt) -> bool {
         self.in_flight.contains_key(attempt)
     }
 
-    /// One step of the decision module; what it decides, with each attempt under its number.
+    /// Runs a step of the decision module and returns its decisions, with the attempts numbered.
     pub(super) fn step(&mut self) -> Vec<Decision> {
         self.inputs.now = self.now;
         let inputs = std::mem::take(&mut self.inputs);
@@ -143,8 +144,8 @@
             numbers.push(self.send(&sent));
         }
         for attempt in log.cancelled {
-            let fate = AttemptFate::Cancelled;
-            self.schedule(0, Event::AttemptCompleted { attempt, fate });
+            let drawn = DrawnOutcome::Cancelled;
+            self.schedule(0, Event::AttemptCompleted { attempt, drawn });
         }
         for replica in log.health_checks {
             let is_alive = self.is_alive[replica.0];
@@ -170,7 +171,7 @@
         log.decisions
     }
 
-    /// Sends an attempt to a replica; its number.
+    /// Sends an attempt to a replica and returns its number.
     fn send(&mut self, sent: &SentAttempt) -> usize {
         let counted = (sent.attempt.query, sent.attempt.sub_request);
         let count = self.attempt_counts.entry(counted).or_default();
@@ -179,14 +180,14 @@
             ..sent.attempt
         };
         *count += 1;
-        let (after, fate) = self.fate(sent.replica);
+        let (after, drawn) = self.draw_outcome(sent.replica);
         self.in_flight.insert(attempt, self.now);
-        let (after, fate) = if after < sent.timeout {
-            (after, fate)
+        let (after, drawn) = if after < sent.timeout {
+            (after, drawn)
         } else {
-            (sent.timeout, AttemptFate::TimedOut)
+            (sent.timeout, DrawnOutcome::TimedOut)
         };
-        self.schedule(after, Event::AttemptCompleted { attempt, fate });
+        self.schedule(after, Event::AttemptCompleted { attempt, drawn });
         attempt.number
     }
 }
--- a/crates/linenthread-simulation/src/merged/simulation.rs
+++ b/crates/linenthread-simulation/src/merged/simulation.rs
@@ -1,4 +1,4 @@
-//! One run from its start to its end, event by event.
+//! A run from start to end, event by event.
 
 use super::decision::Decision;
 use super::event::Event;
@@ -7,7 +7,7 @@
 use super::world::{CLIENTS, World};
 
 impl World<'_> {
-    /// Makes all queries, and waits until all are released.
+    /// Makes all queries and runs until all of them are released.
     pub(super) fn run(mut self) -> Statistics {
         let mut first_query_at = 0;
         for client in 0..CLIENTS {
@@ -15,21 +15,21 @@
             self.replicas
                 .schedule(first_query_at, Event::NextQuery { client });
         }
-        while self.statistics.queries < self.options.queries || !self.open.is_empty() {
+        while self.statistics.queries < self.options.queries || !self.open_queries.is_empty() {
             self.step();
         }
         self.statistics
     }
 
-    /// Handles the events of one moment, and what the decision module decides then.
+    /// Handles the next events, and then the decisions that the decision module makes on them.
     fn step(&mut self) {
-        for event in self.replicas.next() {
+        for event in self.replicas.next_events() {
             match event {
                 Event::NextQuery { client } if self.statistics.queries < self.options.queries => {
                     self.make_query(client);
                 }
-                Event::AttemptCompleted { attempt, fate } => {
-                    self.on_attempt_completed(attempt, fate);
+                Event::AttemptCompleted { attempt, drawn } => {
+                    self.on_attempt_completed(attempt, drawn);
                 }
                 _ => {}
             }
@@ -39,17 +39,17 @@
         }
     }
 
-    /// Carries out a decision.
+    /// Handles a decision of the decision module.
     fn on_decision(&mut self, decision: &Decision) {
         match *decision {
-            Decision::Send(attempt) => self.on_attempt(attempt),
+            Decision::Send(attempt) => self.on_attempt_sent(attempt),
             Decision::Release(query) => {
                 self.free_indices.push(query);
-                let open = self.open.remove(&query);
-                if open.is_some_and(|open| !open.is_completed) {
+                let open_query = self.open_queries.remove(&query);
+                if open_query.is_some_and(|open_query| !open_query.is_completed) {
                     let violation =
                         Violation::new(Invariant::OneResponseInTime, "released without a response");
-                    self.violated(query, &violation);
+                    self.report_violation(query, &violation);
                 }
             }
             Decision::Respond {
@@ -63,7 +63,7 @@
             Decision::Reject(query) | Decision::Fail(query) => {
                 if self.on_completed(query) {
                     self.statistics.rejected += 1;
-                    let client = self.open[&query].client;
+                    let client = self.open_queries[&query].client;
                     self.clients[client].cursor = None;
                 }
             }
--- a/crates/linenthread-simulation/src/merged/traffic.rs
+++ b/crates/linenthread-simulation/src/merged/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients' queries, the attempts of their sub-requests, and the responses.
+//! Queries of clients, the attempts of their sub-requests, and the responses.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use super::decision::Attempt;
 use super::event::Event;
-use super::fault::AttemptFate;
+use super::fault::DrawnOutcome;
 use super::invariant::{Invariant, Violation};
 use super::open_query::{OpenQuery, Request};
 use super::settings::{MAX_ATTEMPTS, SHARDS};
@@ -19,13 +19,14 @@
 use crate::number;
 use crate::random;
 
-/// After so long, in tenths of a millisecond, a client gives its query up.
+/// The hard deadline of a query relative to its start, in tenths of a millisecond.
 const HARD_DEADLINE: TenthMillis = 9_000;
-/// What a replica with a fault responds.
+/// The value that a faulty replica returns.
 const INVALID_VALUE: &str = "{\"rows\":[{}],\"totals\":1}";
 
 impl<'p> World<'p> {
-    /// A client's next query: the next page, perhaps after rows were added, or the first of another reading.
+    /// Makes a client's next query: the next page, in half of the cases after a row was added, or the first page of a
+    /// new read.
     pub(super) fn make_query(&mut self, client_index: usize) {
         let client = &mut self.clients[client_index];
         let rng = &mut self.replicas.rng;
@@ -54,8 +55,8 @@
             shard_count: SHARDS,
         };
         let query = self.free_indices.pop().unwrap_or_else(|| {
-            self.indices += 1;
-            QueryIndex(self.indices - 1)
+            self.index_count += 1;
+            QueryIndex(self.index_count - 1)
         });
         self.statistics.queries += 1;
         match Merger::new(plan, &merge_query, &page, Some(&self.signer), UNIX_SECONDS) {
@@ -67,20 +68,20 @@
                 };
                 self.replicas.schedule(1, retry);
                 let violation = Violation::new(Invariant::QueriesStart, error.to_string());
-                self.violated(query, &violation);
+                self.report_violation(query, &violation);
             }
         }
     }
 
-    /// Hands a query to the decision module.
+    /// Submits a query to the decision module.
     fn submit(&mut self, query: QueryIndex, client: usize, merger: Merger<'p>, page_size: usize) {
         let hard_deadline = self.replicas.now + HARD_DEADLINE;
         self.replicas.inputs.queries.push(NewQuery {
             query,
             search_index: SearchIndex(self.clients[client].plan),
             customer: 0,
-            key: Some(number::count(client)),
-            sequence_number: number::count(query.0),
+            key: Some(number::to_u64(client)),
+            sequence_number: number::to_u64(query.0),
             hard_deadline,
         });
         let sub_request = |&ShardWeight { shard, weight }: &ShardWeight| NewSubRequest {
@@ -90,7 +91,7 @@
         };
         let sub_requests = self.clients[client].shards.iter().map(sub_request);
         self.replicas.inputs.sub_requests.extend(sub_requests);
-        let open = OpenQuery {
+        let open_query = OpenQuery {
             merger,
             client,
             page_size,
@@ -99,79 +100,85 @@
             attempts: BTreeMap::new(),
             requests: BTreeMap::new(),
         };
-        self.open.insert(query, open);
+        self.open_queries.insert(query, open_query);
     }
 
-    /// The decision module sends an attempt.
-    pub(super) fn on_attempt(&mut self, attempt: Attempt) {
-        let Some(open) = self.open.get_mut(&attempt.query) else {
+    /// Records an attempt that the decision module has sent, and checks *bounded-attempts*.
+    pub(super) fn on_attempt_sent(&mut self, attempt: Attempt) {
+        let Some(open_query) = self.open_queries.get_mut(&attempt.query) else {
             return;
         };
         let SubRequestIndex(sub_request) = attempt.sub_request;
         let request = Request {
-            continuation: open.merger.continuation(sub_request),
-            text: open.merger.request_text(sub_request),
+            continuation: open_query.merger.continuation(sub_request),
+            text: open_query.merger.request_text(sub_request),
         };
-        open.requests.insert(attempt, request);
-        let attempts = open.attempts.entry(attempt.sub_request).or_default();
+        open_query.requests.insert(attempt, request);
+        let attempts = open_query.attempts.entry(attempt.sub_request).or_default();
         *attempts += 1;
-        if *attempts > MAX_ATTEMPTS || open.is_completed {
+        if *attempts > MAX_ATTEMPTS || open_query.is_completed {
             let violation = Violation::new(
                 Invariant::BoundedAttempts,
                 "a sub-request is sent too often, or after the response",
             );
-            self.violated(attempt.query, &violation);
+            self.report_violation(attempt.query, &violation);
         }
     }
 
-    /// An attempt has ended: its value goes to the merger, its outcome to the decision module.
-    pub(super) fn on_attempt_completed(&mut self, attempt: Attempt, fate: AttemptFate) {
+    /// Ends an attempt: passes its value to the merger and its outcome to the decision module.
+    pub(super) fn on_attempt_completed(&mut self, attempt: Attempt, drawn: DrawnOutcome) {
         if !self.replicas.is_in_flight(&attempt) {
             return;
         }
-        let Some(open) = self.open.get_mut(&attempt.query) else {
+        let Some(open_query) = self.open_queries.get_mut(&attempt.query) else {
             return;
         };
         let Attempt {
             query, sub_request, ..
         } = attempt;
-        let request = open.requests.get(&attempt).cloned().unwrap_or_default();
+        let request = open_query
+            .requests
+            .get(&attempt)
+            .cloned()
+            .unwrap_or_default();
         let mut violation = None;
-        let is_accepted = match fate {
-            AttemptFate::Success | AttemptFate::DuplicateSuccess => {
-                let value = self.clients[open.client].respond(sub_request, &request.text);
-                let accepted = open.accept_valid(sub_request, &request, &value);
+        let is_accepted = match drawn {
+            DrawnOutcome::Success | DrawnOutcome::DuplicateSuccess => {
+                let value = self.clients[open_query.client].respond(sub_request, &request.text);
+                let accepted = open_query.accept_valid(sub_request, &request, &value);
                 violation = accepted.violation;
-                if fate == AttemptFate::DuplicateSuccess && violation.is_none() {
+                if drawn == DrawnOutcome::DuplicateSuccess && violation.is_none() {
                     self.statistics.duplicates += 1;
-                    violation = open.accept_duplicate(sub_request, &request);
+                    violation = open_query.accept_duplicate(sub_request, &request);
                 }
                 accepted.is_accepted
             }
-            AttemptFate::MalformedValue => open.accepts(sub_request, &request, INVALID_VALUE),
+            DrawnOutcome::MalformedValue => {
+                open_query.try_accept(sub_request, &request, INVALID_VALUE)
+            }
             _ => {
-                open.merger.fail(sub_request.0);
+                open_query.merger.fail(sub_request.0);
                 false
             }
         };
         let outcome = if is_accepted {
             AttemptOutcome::Success
         } else {
-            fate.outcome()
+            drawn.outcome()
         };
         self.continue_sub_requests(query);
-        self.replicas.complete(attempt, outcome);
+        self.replicas.complete_attempt(attempt, outcome);
         if let Some(violation) = violation {
-            self.violated(query, &violation);
+            self.report_violation(query, &violation);
         }
     }
 
-    /// Has the decision module send those sub-requests again of which the merger needs more rows.
+    /// Requests continuations from the decision module for the sub-requests of which the merger needs more rows.
     fn continue_sub_requests(&mut self, query: QueryIndex) {
-        let Some(open) = self.open.get_mut(&query) else {
+        let Some(open_query) = self.open_queries.get_mut(&query) else {
             return;
         };
-        let continuations = open.merger.take_continuations();
+        let continuations = open_query.merger.take_continuations();
         self.statistics.continuations += continuations.len();
         let continuations = continuations.into_iter().map(|index| Continuation {
             query,
@@ -180,14 +187,14 @@
         self.replicas.inputs.continuations.extend(continuations);
     }
 
-    /// Marks a query as completed, and schedules its client's next one; false if there is no such query.
+    /// Marks a query as completed and schedules its client's next one. Returns false if there is no such query.
     pub(super) fn on_completed(&mut self, query: QueryIndex) -> bool {
-        let Some(open) = self.open.get_mut(&query) else {
+        let Some(open_query) = self.open_queries.get_mut(&query) else {
             return false;
         };
-        let was_completed = std::mem::replace(&mut open.is_completed, true);
-        let is_late = was_completed || self.replicas.now > open.hard_deadline;
-        let client = open.client;
+        let was_completed = std::mem::replace(&mut open_query.is_completed, true);
+        let is_late = was_completed || self.replicas.now > open_query.hard_deadline;
+        let client = open_query.client;
         let wait = 1 + random::time_below(&mut self.replicas.rng, 100);
         self.replicas.schedule(wait, Event::NextQuery { client });
         if is_late {
@@ -195,7 +202,7 @@
                 Invariant::OneResponseInTime,
                 "responded late or a second time",
             );
-            self.violated(query, &violation);
+            self.report_violation(query, &violation);
         }
         true
     }
--- a/crates/linenthread-simulation/src/merged/world.rs
+++ b/crates/linenthread-simulation/src/merged/world.rs
@@ -1,4 +1,4 @@
-//! All state of a run: the clients, their queries, and the replicas.
+//! The state of a run: the clients, their queries, and the replicas.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,28 +19,28 @@
 use super::settings::SHARDS;
 use super::statistics::Statistics;
 
-/// Clients at once, each with rows of its own.
+/// The number of concurrent clients, each with its own data.
 pub(super) const CLIENTS: usize = 6;
-/// The most violations that are printed.
+/// The maximum number of violations printed.
 const MAX_PRINTED: usize = 10;
-/// The time of day for cursors, in seconds since 1970: it stands still.
+/// The wall-clock time for cursors, in seconds since 1970; it doesn't advance.
 pub(super) const UNIX_SECONDS: u64 = 1_000;
-/// Longer than the time of day ever moves.
+/// Long enough that no cursor expires.
 const CURSOR_LIFETIME: Duration = Duration::from_secs(1 << 40);
 
-/// One run.
+/// The state of a run.
 pub(super) struct World<'p> {
     pub(super) options: &'p Options,
     pub(super) plans: &'p [Plan],
     pub(super) signer: CursorSigner,
     pub(super) replicas: SimulatedReplicas,
-    pub(super) open: BTreeMap<QueryIndex, OpenQuery<'p>>,
+    pub(super) open_queries: BTreeMap<QueryIndex, OpenQuery<'p>>,
     pub(super) clients: Vec<Client>,
     pub(super) statistics: Statistics,
-    /// Indices of released queries, which may be used again.
+    /// The indices of released queries, which are reused.
     pub(super) free_indices: Vec<QueryIndex>,
-    /// How many indices there are.
-    pub(super) indices: usize,
+    /// The number of indices allocated so far.
+    pub(super) index_count: usize,
 }
 
 impl<'p> World<'p> {
@@ -63,22 +63,23 @@
         World {
             options,
             plans,
-            signer: CursorSigner::new(vec![secret], CURSOR_LIFETIME).expect("long enough"),
+            signer: CursorSigner::new(vec![secret], CURSOR_LIFETIME)
+                .expect("the secret is long enough"),
             clients: (0..CLIENTS).map(|_| client()).collect(),
             replicas: SimulatedReplicas::new(
                 plans::index_configs(options.floor),
                 options.seed,
                 behavior,
             ),
-            open: BTreeMap::new(),
+            open_queries: BTreeMap::new(),
             statistics: Statistics::default(),
             free_indices: Vec::new(),
-            indices: 0,
+            index_count: 0,
         }
     }
 
-    /// Counts a violation, and prints it with the command that repeats the run.
-    pub(super) fn violated(&mut self, query: QueryIndex, violation: &Violation) {
+    /// Counts a violation. Prints the first [`MAX_PRINTED`] with the command that repeats the run.
+    pub(super) fn report_violation(&mut self, query: QueryIndex, violation: &Violation) {
         self.statistics.violations += 1;
         if self.statistics.violations <= MAX_PRINTED {
             println!("violation at query {}: {violation}", query.0);
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -1,4 +1,4 @@
-//! One schedule from its start to its end, step by step.
+//! A schedule from start to end, step by step.
 
 use linenthread_core::interface::TenthMillis;
 
@@ -9,31 +9,31 @@
 use crate::failover_config::failover_config;
 use crate::random;
 
-/// A new leader takes over once in so many steps.
+/// The mean number of steps between changes of the leader.
 const LEADER_CHANGE_STEPS: u64 = 60;
-/// Steps before the fault.
+/// The number of steps before the fault.
 const HEALTHY_STEPS: usize = 40;
-/// A fault must be handled within so long.
+/// The time within which a fault must be handled.
 const MAX_REACTION_TIME: TenthMillis = 8 * SECOND;
 
 impl World {
-    /// Runs the schedule.
+    /// Runs the schedule and returns its outcome.
     pub(super) fn run(mut self) -> Outcome {
         for _ in 0..HEALTHY_STEPS {
             self.step();
         }
         if self.tables > 0 && self.fault != Fault::HostileReports {
-            self.violated(
+            self.record_violation(
                 Invariant::LocalWhileHealthy,
                 "a table before anything is wrong",
             );
         }
         let drain_accepted = self.run_fault();
-        let must_be_noticed = self.must_be_noticed(drain_accepted);
+        let must_be_handled = self.must_be_handled(drain_accepted);
         let is_late = |after: TenthMillis| after > MAX_REACTION_TIME;
-        if must_be_noticed && self.handled_after.is_none_or(is_late) {
+        if must_be_handled && self.handled_after.is_none_or(is_late) {
             let after = self.handled_after;
-            self.violated(
+            self.record_violation(
                 Invariant::HandledInTime,
                 &format!("handled after {after:?}"),
             );
@@ -42,17 +42,17 @@
         self.check_openings();
         Outcome {
             violations: self.violations,
-            handled_after: self.handled_after.filter(|_| must_be_noticed),
+            handled_after: self.handled_after.filter(|_| must_be_handled),
         }
     }
 
-    /// Runs with the fault; whether the drain was accepted, if that is the fault.
+    /// Runs the schedule while the fault is active. Returns false if the fault is a drain that was rejected.
     fn run_fault(&mut self) -> bool {
         self.fault_is_active = true;
         let started_at = self.now;
         let mut drain_accepted = true;
         if let Fault::Drain(zone) = self.fault {
-            // Where shards are placed there alone it is refused.
+            // The drain is rejected if some shards are placed only in this zone.
             let name = format!("z{zone}");
             drain_accepted = self.topology.may_drain(&name, &self.drained).is_ok();
             self.drained.extend(drain_accepted.then_some(name));
@@ -70,7 +70,8 @@
         drain_accepted
     }
 
-    /// After the fault: after the longest ejection and all steps, with some time for noise, all is open.
+    /// Runs the schedule after the fault. All routes must be open again after the longest ejection and all return
+    /// steps, with twice that time plus 20 s allowed because of noise.
     fn run_recovery(&mut self) {
         self.fault_is_active = false;
         self.drained.clear();
@@ -80,19 +81,19 @@
         let config = failover_config();
         let recovery = 2 * (config.max_ejection_time + 6 * config.return_step) + 20 * SECOND;
         let end = self.now + recovery;
-        while self.now < end && !self.is_open() {
+        while self.now < end && !self.all_routes_open() {
             self.step();
         }
-        if !self.is_open() {
+        if !self.all_routes_open() {
             let rows = self.table.as_ref().map(|table| table.rows.clone());
-            self.violated(
+            self.record_violation(
                 Invariant::Recovers,
                 &format!("not all open again: {rows:?}"),
             );
         }
     }
 
-    /// One step of time: tables arrive, requests are sent, reports are collected, the leader decides.
+    /// Advances time by one step: tables arrive, requests are sent, reports are collected, and the leader decides.
     fn step(&mut self) {
         self.now += STEP;
         self.deliver_tables();
@@ -107,7 +108,7 @@
         }
         self.controller.set_drained(&self.drained, self.now);
         if let Some(table) = self.controller.decide(self.now, 0, &self.topology) {
-            self.on_table(&table);
+            self.on_new_table(&table);
         }
     }
 }
--- a/crates/linenthread-simulation/src/zones/traffic.rs
+++ b/crates/linenthread-simulation/src/zones/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic between zones, and what coordinators observe of it.
+//! The traffic between zones, as coordinators observe it.
 
 use linenthread_core::interface::AttemptOutcome;
 use linenthread_zones::loads;
@@ -8,32 +8,32 @@
 use crate::number;
 use crate::random;
 
-/// The factor by which a slow zone is slower.
+/// The factor by which a slow zone is slower than usual.
 const SLOWDOWN: f64 = 6.0;
-/// In a burst there is so many times the usual demand.
-const BURST: f64 = 1.3;
-/// One step in so many is a burst.
-const BURST_EVERY: u64 = 20;
-/// The share of requests that fail at any time.
-const USUAL_FAILURES: f64 = 0.05;
-/// A utilization above this lengthens queues no further.
+/// The ratio of the demand in a burst to the usual demand.
+const BURST_FACTOR: f64 = 1.3;
+/// The mean number of steps between bursts.
+const STEPS_PER_BURST: u64 = 20;
+/// The share of requests that fail without any fault.
+const BASE_FAILURE_RATE: f64 = 0.05;
+/// The utilization above which queueing doesn't increase further.
 const MAX_QUEUED_UTILIZATION: f64 = 0.9;
-/// The most outcomes that a coordinator observes on a route in a step.
+/// The maximum number of outcomes that a coordinator observes on a route in a step.
 const MAX_OUTCOMES: u32 = 400;
-/// Above this mean a Poisson number is drawn by its normal approximation.
+/// The mean above which a Poisson distribution is approximated by a normal distribution.
 const MAX_EXACT_MEAN: f64 = 30.0;
-/// The most factors of an exact Poisson draw.
+/// The upper bound of a number drawn exactly from a Poisson distribution.
 const MAX_POISSON: u32 = 200;
-/// Replicas are numbered from here in each zone.
+/// The distance between the first replica numbers of consecutive zones.
 const REPLICAS_PER_ZONE: usize = 100;
 const TENTHS_PER_MS: f64 = 10.0;
 
 impl World {
-    /// A random number of a Poisson distribution.
+    /// Draws a number from a Poisson distribution.
     fn poisson(&mut self, mean: f64) -> u32 {
         if mean > MAX_EXACT_MEAN {
             let normal: f64 = (0..12).map(|_| self.rng.rand_float()).sum::<f64>() - 6.0;
-            return number::truncated(mean + normal * mean.sqrt());
+            return number::truncate_to_u32(mean + normal * mean.sqrt());
         }
         let (mut number, limit) = (0, (-mean).exp());
         let mut product = self.rng.rand_float();
@@ -44,16 +44,16 @@
         number
     }
 
-    /// One step of traffic, as all coordinators observe it.
+    /// Simulates the traffic of one step and feeds the observations to all coordinators.
     pub(super) fn run_traffic(&mut self) {
         let zones = self.topology.zones.len();
-        let coordinators_per_zone = number::float(self.coordinators.len() / zones);
-        let burst = if self.rng.rand_range(0..BURST_EVERY) == 0 {
-            BURST
+        let coordinators_per_zone = number::to_f64(self.coordinators.len() / zones);
+        let burst = if self.rng.rand_range(0..STEPS_PER_BURST) == 0 {
+            BURST_FACTOR
         } else {
             1.0
         };
-        // Where requests truly go: each coordinator acts on the table that it has.
+        // The true load of each zone: each coordinator routes by the table that it has.
         let mut load = vec![0.0; zones];
         let mut flows = Vec::new();
         for coordinator in &self.coordinators {
@@ -73,14 +73,15 @@
             let sub_requests = self.poisson(mean);
             self.coordinators[index]
                 .observer
-                .on_query(number::index(sub_requests.into()));
+                .on_query(number::to_usize(sub_requests.into()));
             for to in 0..zones {
                 self.observe(index, to, flow[to], load[to]);
             }
         }
     }
 
-    /// One coordinator's requests to a zone, `flow` a second of the zone's whole `load`.
+    /// Draws the outcomes of a coordinator's requests to a zone: `flow` requests per second, of the total `load` on the
+    /// zone.
     fn observe(&mut self, coordinator: usize, to: usize, flow: f64, load: f64) {
         let completed = self.poisson(flow * STEP_SECONDS).min(MAX_OUTCOMES);
         let slowdown = if self.fault_is_active && self.fault.is_slow(to) {
@@ -89,11 +90,11 @@
             1.0
         };
         let utilization = load / (self.capacity[to] / slowdown);
-        // More fail where too much arrives.
+        // The requests that exceed the zone's capacity fail, too.
         let failures = if self.is_broken(coordinator, to) {
             1.0
         } else {
-            USUAL_FAILURES + (1.0 - 1.0 / utilization.max(1.0))
+            BASE_FAILURE_RATE + (1.0 - 1.0 / utilization.max(1.0))
         };
         let queueing = 1.0 / (1.0 - utilization.min(MAX_QUEUED_UTILIZATION));
         let latency_ms = self.service_ms * queueing * slowdown;
@@ -112,7 +113,7 @@
                 number::zone_index(to),
                 replica,
                 outcome,
-                number::time(elapsed),
+                number::time_from_f64(elapsed),
             );
         }
     }
--- a/crates/linenthread-simulation/src/zones/world.rs
+++ b/crates/linenthread-simulation/src/zones/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: zones, their coordinators, and the leader's controller.
+//! The state of a schedule: zones, their coordinators, and the leader's controller.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -15,45 +15,45 @@
 use crate::number;
 use crate::random;
 
-/// A schedule ends after so many violations.
+/// The fault phase of a schedule ends early when there are more violations than this.
 pub(super) const MAX_VIOLATIONS: usize = 3;
-/// The work that a replica does in a second, in milliseconds: two requests at once.
+/// The service time that a replica provides per second, in milliseconds; it processes two requests concurrently.
 const REPLICA_MS_PER_SECOND: f64 = 2_000.0;
 
-/// A table on its way to a coordinator.
+/// A table in flight to a coordinator.
 pub(super) struct ArrivingTable {
     pub(super) arrives_at: TenthMillis,
     pub(super) table: RoutingTable,
 }
 
-/// One coordinator.
+/// A coordinator and the zone it is in.
 pub(super) struct Coordinator {
     pub(super) zone: usize,
     pub(super) observer: ZoneObserver,
-    /// Tables on their way, in the order in which they arrive.
+    /// Tables in flight, in the order in which they arrive.
     pub(super) arriving: VecDeque<ArrivingTable>,
-    /// The table that it acts on.
+    /// The table that it routes by.
     pub(super) table: RoutingTable,
 }
 
-/// One schedule.
+/// The state of a schedule.
 pub(super) struct World {
     pub(super) now: TenthMillis,
     seed: u64,
     pub(super) rng: Rand64,
     pub(super) topology: Topology,
-    /// By zone, requests a second that its replicas can process.
+    /// Requests per second that the replicas of each zone can process.
     pub(super) capacity: Vec<f64>,
-    /// By zone, requests a second that its clients need.
+    /// Requests per second that the clients of each zone make.
     pub(super) demand: Vec<f64>,
     pub(super) service_ms: f64,
     pub(super) coordinators: Vec<Coordinator>,
-    /// The replicated table.
+    /// The replicated table; `None` until the first one is made.
     pub(super) table: Option<RoutingTable>,
     pub(super) controller: FailoverController,
     pub(super) fault: Fault,
     pub(super) fault_is_active: bool,
-    /// Zones that operators drain.
+    /// The zones that operators drain.
     pub(super) drained: BTreeSet<String>,
     pub(super) violations: Vec<String>,
     pub(super) openings: u32,
@@ -63,17 +63,18 @@
     pub(super) handled_after: Option<TenthMillis>,
 }
 
-/// A controller that goes on from a table.
+/// Returns a controller that continues from a table.
 pub(super) fn controller(
     topology: &Topology,
     table: Option<&RoutingTable>,
     now: TenthMillis,
 ) -> FailoverController {
     FailoverController::new(failover_config(), topology.zones.clone(), table, now)
-        .expect("a valid configuration")
+        .expect("the configuration is valid")
 }
 
-/// Shards on a ring of replica groups: each shard is in several consecutive groups, and these go round the zones.
+/// Places shards on a ring of replica groups: each shard is in `copies` consecutive groups, and consecutive groups are
+/// in different zones.
 fn placements(zones: usize, groups: usize, copies: usize) -> Vec<Placement> {
     let mut shares: BTreeMap<Vec<u16>, f64> = BTreeMap::new();
     for shard in 0..groups {
@@ -81,7 +82,7 @@
         for copy in 0..copies {
             replicas[(shard + copy) % groups % zones] += 1;
         }
-        *shares.entry(replicas).or_default() += 1.0 / number::float(groups);
+        *shares.entry(replicas).or_default() += 1.0 / number::to_f64(groups);
     }
     let shares = shares.into_iter();
     shares
@@ -90,7 +91,7 @@
 }
 
 impl World {
-    /// A world in which nothing is wrong yet.
+    /// Creates the state before the fault.
     pub(super) fn new(seed: u64) -> World {
         let mut rng = Rand64::new(u128::from(seed));
         let count = 2 + random::index(&mut rng, 4);
@@ -107,35 +108,37 @@
         let copies = 2 + random::index(&mut rng, 2);
         let topology = Topology {
             zones: (0..count).map(zone).collect(),
-            replicas: vec![number::small(replicas); count],
+            replicas: vec![number::to_u32(replicas); count],
             placements: placements(count, replicas * count, copies),
         };
-        let capacity = vec![replica_capacity * number::float(replicas); count];
-        // From idle to nearly full.
+        let capacity = vec![replica_capacity * number::to_f64(replicas); count];
+        // From nearly idle to a high utilization.
         let utilization = 0.15 + 0.45 * rng.rand_float();
         let demand = capacity
             .iter()
             .map(|capacity| capacity * utilization * (0.8 + 0.4 * rng.rand_float()))
             .collect();
         let fault = Fault::random(count, &mut rng);
-        let observers = 3 + random::index(&mut rng, 8);
+        let coordinators_per_zone = 3 + random::index(&mut rng, 8);
         let names = topology
             .zones
             .iter()
             .map(|zone| zone.name.clone())
             .collect();
-        let open = RoutingTable::open(names);
+        let open_table = RoutingTable::open(names);
         let coordinator = |n: usize| Coordinator {
             zone: n % count,
             observer: ZoneObserver::new(number::zone_index(n % count)),
             arriving: VecDeque::new(),
-            table: open.clone(),
+            table: open_table.clone(),
         };
         World {
             now: START,
             seed,
             controller: controller(&topology, None, START),
-            coordinators: (0..count * observers).map(coordinator).collect(),
+            coordinators: (0..count * coordinators_per_zone)
+                .map(coordinator)
+                .collect(),
             table: None,
             rng,
             topology,
@@ -154,7 +157,7 @@
     }
 
     /// Records a violation.
-    pub(super) fn violated(&mut self, invariant: Invariant, details: &str) {
+    pub(super) fn record_violation(&mut self, invariant: Invariant, details: &str) {
         let seconds = number::seconds(self.now);
         let (schedule, fault) = (self.seed, self.fault);
         self.violations.push(format!(
@@ -162,11 +165,11 @@
         ));
     }
 
-    /// Whether requests of a coordinator to a zone fail now.
+    /// Reports whether requests of a coordinator to a zone currently fail.
     pub(super) fn is_broken(&self, coordinator: usize, to: usize) -> bool {
         let from = self.coordinators[coordinator].zone;
-        // The first of each zone.
+        // The first coordinator of each zone is affected.
         let is_isolated = coordinator < self.topology.zones.len();
-        self.fault_is_active && self.fault.breaks(from, to, is_isolated)
+        self.fault_is_active && self.fault.breaks_route(from, to, is_isolated)
     }
 }
