--- a/crates/linenthread-adapter/src/encoder.rs
+++ b/crates/linenthread-adapter/src/encoder.rs
@@ -8,7 +8,7 @@
 use crate::ids::IdTable;
 use crate::reply::{Reply, action};
 
-/// Writes the decisions of one instance into the reply.
+/// A [`DecisionSink`] that writes the decisions of one instance to the reply.
 pub(crate) struct Encoder<'a> {
     pub(crate) instance: u32,
     pub(crate) ids: &'a mut IdTable,
--- a/crates/linenthread-adapter/src/error.rs
+++ b/crates/linenthread-adapter/src/error.rs
@@ -5,7 +5,7 @@
 use linenthread_terms::SettingsError;
 use snafu::Snafu;
 
-/// Why the adapter terminates. Each message is a single line.
+/// The reason why the adapter terminates. Each message is a single line.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum AdapterError {
--- a/crates/linenthread-adapter/src/event.rs
+++ b/crates/linenthread-adapter/src/event.rs
@@ -60,7 +60,8 @@
     pub(crate) const UNAVAILABLE: u8 = 3;
 }
 
-/// Size of a streaming event after the instance number. Such events are skipped, since no index of this family streams.
+/// Size of a streaming event after the instance number. Such events are skipped, since no search index of this
+/// family streams.
 pub(crate) const STREAMING_BYTES: usize = 21;
 
 /// A list entry as received. Its replica gets an index in an instance only when a membership event refers to the list.
--- a/crates/linenthread-adapter/tests/wire.rs
+++ b/crates/linenthread-adapter/tests/wire.rs
@@ -33,7 +33,7 @@
     record
 }
 
-/// A list with one ready replica, and the event that makes it the complete membership.
+/// Returns a list with one ready replica, and the event that makes it the complete membership.
 fn membership() -> Vec<u8> {
     decode_hex(
         "0b 0000 00000001 03124a07 0000 0000 0000 01 3f800000 0000000000000000 \
@@ -41,7 +41,7 @@
     )
 }
 
-/// A query with one sub-request and a deadline at 13000 ms.
+/// Returns a query with one sub-request and a deadline at 13000 ms.
 fn query() -> Vec<u8> {
     decode_hex(
         "03 00000003 000643ee0e6f2b19 0000 00000000 91f03b7c55d20a64 40c9640000000000 0000000000000000 \
--- a/crates/linenthread-consensus/src/backoff.rs
+++ b/crates/linenthread-consensus/src/backoff.rs
@@ -18,8 +18,7 @@
     not_before: Instant,
     /// Number of consecutive rejected rounds.
     rejections: u32,
-    /// Latency of the voters in the last completed phase of a round. A shorter backoff would lead to another
-    /// rejection.
+    /// Latency of the voters in the last completed prepare phase. A shorter backoff would lead to another rejection.
     phase_latency: Duration,
     jitter: Jitter,
 }
@@ -38,7 +37,7 @@
         now >= self.not_before
     }
 
-    /// Records the time within which a majority of the voters replied.
+    /// Records the time within which a majority of the voters has promised.
     pub(crate) fn observe_phase_latency(&mut self, latency: Duration) {
         self.phase_latency = latency;
     }
@@ -84,7 +83,7 @@
         self.not_before = now + MIN_BACKOFF + backoff;
     }
 
-    /// Delays the next round by the time of both phases, because this node votes in a competing round.
+    /// Delays the next round by the time of both phases, because this node has promised to vote in a competing one.
     pub(crate) fn yield_to_competing_round(&mut self, now: Instant) {
         let both_phases = 2 * self.phase_latency.clamp(BACKOFF_BASE, MAX_BACKOFF);
         self.not_before = self.not_before.max(now + both_phases);
--- a/crates/linenthread-consensus/src/effects.rs
+++ b/crates/linenthread-consensus/src/effects.rs
@@ -31,7 +31,7 @@
     Reply {
         /// The job.
         job: JobId,
-        /// Its result.
+        /// The outcome of the job.
         outcome: Outcome,
     },
 }
--- a/crates/linenthread-consensus/src/jobs.rs
+++ b/crates/linenthread-consensus/src/jobs.rs
@@ -22,7 +22,7 @@
     Unknown(UnknownReason),
 }
 
-/// Why the outcome of a job is unknown.
+/// The reason why the outcome of a job is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UnknownReason {
     /// No majority of the voters replied before the deadline.
--- a/crates/linenthread-consensus/src/lease.rs
+++ b/crates/linenthread-consensus/src/lease.rs
@@ -201,7 +201,7 @@
         Some(self.start_request(now, value_number))
     }
 
-    /// Drops an expired lease, and marks its epoch as not to be used again.
+    /// Drops an expired lease with its pending renewal, and marks its epoch as not to be used again.
     fn retire_expired(&mut self) {
         if let Some(expired) = self.held.take() {
             self.request = None;
@@ -381,8 +381,9 @@
         }
     }
 
-    /// Cancels the pending request if the voter has already granted the requested epoch or a higher one, unless this
-    /// node holds the lease. The next request uses a higher epoch, and grants of the cancelled one no longer count.
+    /// Cancels the pending request if the voter already knows the requested epoch or a higher one to be in use, unless
+    /// this node holds the lease. The next request uses a higher epoch, and grants of the cancelled one no longer
+    /// count.
     fn on_denied(&mut self, reply: &LeaseReply) {
         let granted_epoch = Epoch::new(reply.epoch);
         let is_outdated = self
--- a/crates/linenthread-consensus/src/lib.rs
+++ b/crates/linenthread-consensus/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! Both are state machines without I/O. Their inputs are messages and the current time
 //! ([`linenthread_time::Instant`]), their outputs messages and records. The driver syncs a record before it sends the
-//! messages that depend on it ([`Effect::Persist`]). This package does not access sockets, disks or clocks, and does
+//! messages that depend on it ([`Effect::Persist`]). This crate does not access sockets, disks or clocks, and does
 //! not interpret replicas or configuration documents. `linenthread-control` drives it in the daemons,
 //! `linenthread-checker` explores its states exhaustively.
 //!
--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -11,7 +11,7 @@
 use crate::revision::Revision;
 use crate::value_number::ValueNumber;
 
-/// How this node has learned that a value is decided.
+/// The source from which this node has learned that a value is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LearnedFrom {
     /// A majority of the voters has just accepted it in a round of this node.
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Submits a change; returns false if too many are pending. A voter change is queued before all other changes,
-    /// since it becomes invalid if another value is decided first.
+    /// Submits a change; returns false if too many are pending. A voter change is always accepted, and queued before
+    /// all other changes, since it becomes invalid if another value is decided first.
     pub(crate) fn submit(&mut self, job: JobId, change: Change, deadline: Instant) -> bool {
         let pending = PendingChange {
             job,
@@ -215,7 +215,8 @@
         }
     }
 
-    /// Delays the next round after this node has voted in a round of another node, unless a voter change is next.
+    /// Delays the next round after this node has promised to vote in a round of another node. Does nothing if this node
+    /// runs a round itself, or if a voter change is next.
     pub(crate) fn on_competing_round(&mut self, now: Instant) {
         if self.round.is_none() && !self.is_voter_change_next() {
             self.backoff.yield_to_competing_round(now);
--- a/crates/linenthread-consensus/src/timing.rs
+++ b/crates/linenthread-consensus/src/timing.rs
@@ -67,6 +67,6 @@
 /// Interval at which the lease holder requests renewal. Three attempts can fail before the lease expires.
 pub(crate) const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(450);
 
-/// Margin that the lease holder subtracts from [`LEASE_DURATION`], since the steady clocks of two nodes may drift
+/// Margin that the lease holder subtracts from [`LEASE_DURATION`], since the monotonic clocks of two nodes may drift
 /// apart.
 pub(crate) const LEASE_MARGIN: Duration = Duration::from_millis(200);
--- a/crates/linenthread-consensus/tests/consensus/orders.rs
+++ b/crates/linenthread-consensus/tests/consensus/orders.rs
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn catching_up_needs_one_request_for_each_full_message_of_orders() {
+fn catching_up_takes_one_request_for_each_message_of_orders() {
     let mut cluster = Cluster::new(3);
     cluster.commit_orders(1, 1..=5_000);
     cluster.clear_sent();
--- a/crates/linenthread-core/src/interface/config.rs
+++ b/crates/linenthread-core/src/interface/config.rs
@@ -2,7 +2,7 @@
 
 use super::TenthMillis;
 
-/// Whether a sub-request, or a whole query, may run more than once.
+/// The condition under which a sub-request, or a whole query, may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// It may run any number of times.
@@ -76,7 +76,7 @@
     pub duration: TenthMillis,
     /// Attempts within any window are limited to this multiple of the replica's current capacity.
     pub budget_multiple: f64,
-    /// The length of that window.
+    /// The length of a window.
     pub window: TenthMillis,
 }
 
@@ -87,11 +87,11 @@
     pub reserve: f64,
     /// Additional attempts permitted for each query and sub-request accepted within the window.
     pub ratio: f64,
-    /// The length of the window.
+    /// The length of a window.
     pub window: TenthMillis,
 }
 
-/// How the value of a query depends on its size.
+/// The dependence of a query's value on its size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueGrowth {
     /// The value does not depend on the number of sub-requests.
--- a/crates/linenthread-core/src/interface/decision.rs
+++ b/crates/linenthread-core/src/interface/decision.rs
@@ -2,7 +2,7 @@
 
 use super::{QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 
-/// Why a query is abandoned, that is, rejected or failed.
+/// The reason why a query is abandoned, that is, rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbandonCause {
     /// The query's deadline has passed.
@@ -17,7 +17,7 @@
     Saturated,
 }
 
-/// Whether a response covers everything the query asked for.
+/// The share of the query that a response covers: all that a complete response requires, or less.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completeness {
     /// The response reaches the share of the sub-requests that is required for a complete response.
@@ -26,7 +26,7 @@
     Partial,
 }
 
-/// Receives the decisions of a step, in the order in which they are made.
+/// The receiver of the decisions of a step, in the order in which they are made.
 pub trait DecisionSink {
     /// Reports why a query is abandoned; called before the [`reject`](Self::reject) or [`fail`](Self::fail) of the
     /// query.
--- a/crates/linenthread-core/src/lib.rs
+++ b/crates/linenthread-core/src/lib.rs
@@ -5,7 +5,7 @@
 //! I/O, reads no clock and implements no protocol: callers decode requests and settings, assign indices to replicas and
 //! queries, and carry out the decisions.
 //!
-//! Two kinds of processes run a [`Coordinator`], and "co-ordinator" means either: the process `linenthread`
+//! Two components run a [`Coordinator`], and "co-ordinator" means either: the process `linenthread`
 //! (`linenthread-service`), and each dispatcher of an ingress node (`linenthread-dataplane`). A number of co-ordinators
 //! is the number of `linenthread` processes or of ingress nodes.
 //!
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -18,7 +18,8 @@
 
 /// The prior delay of a sub-request.
 ///
-/// Unit: share of the shortest soft deadline. Reason: an index whose sub-requests take much longer could not meet it.
+/// Unit: share of the shortest soft deadline. Reason: a search index whose sub-requests take much longer could not
+/// meet it.
 const PRIOR_DELAY_SHARE: f64 = 0.2;
 
 /// The standard deviation of the prior delay.
@@ -210,8 +211,8 @@
         })
     }
 
-    /// Returns the expected delay of the query as a share of the time available, or the value of the worst index if
-    /// that is greater. Above 1 the query is expected late.
+    /// Returns the expected delay of the query as a share of the time available, or that of the worst search index if
+    /// it is greater. Above 1 the query is expected late.
     fn pressure(&self, query: &Query, delays: &DelayEstimate, slowdown: f64) -> f64 {
         let count = query.sub_requests.len() as f64;
         // The client may stop waiting before the soft deadline; a response after that is useless.
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Marks a sub-request that has succeeded to be repeated, if its index permits repeats.
+    /// Marks a sub-request that has succeeded to be repeated, if its search index permits repeats.
     pub(super) fn on_continuation(&mut self, wanted: Continuation) {
         if let Some(Some(query)) = self.queries.get_mut(wanted.query.0)
             && self.config.indexes[query.search_index.0].idempotency == Idempotency::Idempotent
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -83,7 +83,7 @@
         match observed.outcome {
             AttemptOutcome::Success => self.on_success(result, &observed, sink),
             AttemptOutcome::Cancelled => self.record_lower_bound(&observed),
-            // A time-out before a slow response time is due to the query's deadline, not to the replica.
+            // A timeout before a slow response time is due to the query's deadline, not to the replica.
             AttemptOutcome::TimedOut if observed.elapsed < slow => {
                 self.record_lower_bound(&observed);
             }
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -74,7 +74,7 @@
         if !self.config.permissions.health_probes {
             return;
         }
-        // All co-ordinators probe the same replica, so the interval is proportional to their number.
+        // All co-ordinators probe the same replica, so the interval grows with their number.
         let interval_factor = TenthMillis::try_from(self.config.coordinator_count / 4)
             .unwrap_or(TenthMillis::MAX)
             .max(1);
--- a/crates/linenthread-core/src/policy/membership_update.rs
+++ b/crates/linenthread-core/src/policy/membership_update.rs
@@ -20,7 +20,7 @@
 /// Unit: doublings (up to 4 s). Reason: using an older list costs more than the requests.
 const MAX_WATCH_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// How an update treats replicas that it does not list.
+/// The treatment of replicas that an update does not list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum UpdateScope {
     /// They are unchanged: the update lists only replicas that have changed.
--- a/crates/linenthread-core/src/policy/mod.rs
+++ b/crates/linenthread-core/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! The decisions of one co-ordinator, with one module for each decision.
 //!
-//! "Co-ordinator" means any process that runs a [`Coordinator`]: the process of that name, or the dispatcher of an
+//! "Co-ordinator" means the component that runs a [`Coordinator`]: the process `linenthread`, or the dispatcher of an
 //! ingress node.
 //!
 //! The base algorithm is dynamic snitching: each sub-request has a natural replica, the first in a hash order of its
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -10,7 +10,7 @@
 };
 use crate::state::{Query, QueryStage, SubRequest};
 
-/// Queries of an index whose late responses earn no more than this are abandoned at their soft deadline.
+/// Queries of a search index whose late responses earn no more than this are abandoned at their soft deadline.
 ///
 /// Unit: share of the value. Reason: attempts of a late query delay queries that can still be in time.
 const MIN_LATE_VALUE_SHARE: f64 = 0.15;
@@ -103,7 +103,7 @@
     fn progress(&self, query: &Query) -> Progress {
         let index = self.index_config(query);
         let total = query.phase_weight(|_| true).max(WEIGHT_ROUNDING);
-        // If the index allows partial responses, the fetch phase may be incomplete, too.
+        // If the search index allows partial responses, the fetch phase may be incomplete, too.
         let allows_partial_fetch = index.min_share < index.complete_share;
         Progress {
             abandon_at: abandon_at(query, index),
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Ends a query without a response. The query is rejected if sending it again is harmless, because its index is
-    /// idempotent or no attempt ran. Otherwise it fails, which makes no such promise.
+    /// Ends a query without a response. The query is rejected if sending it again is harmless, because its search
+    /// index is idempotent or no attempt ran. Otherwise it fails, which makes no such promise.
     fn abandon(
         &mut self,
         query_index: QueryIndex,
--- a/crates/linenthread-core/src/state/fleet.rs
+++ b/crates/linenthread-core/src/state/fleet.rs
@@ -16,7 +16,8 @@
     pub costs: DecayingSums,
     /// Queries received, by customer.
     pub customer_queries: Vec<DecayingSums>,
-    /// 1 for each crash of a replica, 0 for each suspected crash that a probe disproved.
+    /// 1 for each replica that crashed according to a probe or left without draining, 0 for each suspected crash that a
+    /// probe disproved.
     pub crashes: DecayingSums,
     /// Queries and sub-requests accepted.
     pub accepted: WindowCounter,
@@ -24,9 +25,9 @@
     pub retries: WindowCounter,
     /// The share of hedged requests among recent attempts.
     pub hedge_share: HedgeShare,
-    /// 1 for each probe that ended after its time-out, 0 for each other probe.
+    /// 1 for each probe that ended after its timeout, 0 for each other probe.
     pub late_probes: DecayingSums,
-    /// 1 for each attempt on an idle connection that the connection made fail, 0 for each success.
+    /// 1 for each attempt on an idle connection that failed because of the connection, 0 for each success.
     pub idle_connection_failures: DecayingSums,
     /// The same for connections that had not been idle.
     pub active_connection_failures: DecayingSums,
--- a/crates/linenthread-core/src/state/timers.rs
+++ b/crates/linenthread-core/src/state/timers.rs
@@ -13,7 +13,7 @@
     pub next_reset: TenthMillis,
     /// The time of the last requested wake-up.
     pub next_wake: TenthMillis,
-    /// When the watch at service discovery is to be started, if it is.
+    /// When to start watching service discovery; `None` if no watch is to be started.
     pub next_watch: Option<TenthMillis>,
     /// Number of consecutive failures of service discovery, limited to the number that gives the longest backoff.
     pub watch_failures: u32,
--- a/crates/linenthread-core/tests/scenarios/main.rs
+++ b/crates/linenthread-core/tests/scenarios/main.rs
@@ -2,7 +2,7 @@
 //! are in milliseconds.
 //!
 //! - `with soft 500 late 0.3 min 0.8 fetch 2 runs at-most-once ...` configures the co-ordinator and the last added
-//!   index; `index` adds an index;
+//!   search index; `index` adds one;
 //! - `snapshot a:0 b:1/draining` and `cached a:0` are complete lists of replicas and their groups; `delta a:0 draining`
 //!   and `delta a:0 ready 500 0.1` are changes (the latter with a start time and a share of the slow-start budget);
 //!   `delta c=a:0 ready` lists c under the former index of a; `unavailable` is a failure of service discovery;
--- a/crates/linenthread-core/tests/scenarios/runner.rs
+++ b/crates/linenthread-core/tests/scenarios/runner.rs
@@ -326,7 +326,7 @@
         Ok(())
     }
 
-    /// `stream INTERVAL END ...` starts queries with unique names and keys.
+    /// Runs `stream INTERVAL END ...`, which starts queries with unique names and keys.
     fn stream(&mut self, words: &[&str]) -> Result<(), String> {
         let end = START_TIME + time(words.get(1))?;
         while self.now < end {
--- a/crates/linenthread-core/tests/scenarios/setup.rs
+++ b/crates/linenthread-core/tests/scenarios/setup.rs
@@ -7,7 +7,7 @@
 
 use crate::values::{number, time};
 
-/// The default configuration of an index.
+/// The default configuration of a search index.
 pub(crate) const INDEX: IndexConfig = IndexConfig {
     idempotency: Idempotency::Idempotent,
     soft_deadline: 10_000,
@@ -22,7 +22,7 @@
 /// The window of a retry budget, in tenths of a millisecond.
 const RETRY_WINDOW: i64 = 100_000;
 
-/// The default configuration of the co-ordinator.
+/// Returns the default configuration of the co-ordinator.
 pub(crate) fn default_config() -> CoordinatorConfig {
     CoordinatorConfig {
         coordinator_number: 0,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Applies pairs of a name and a value; settings of an index apply to the last one.
+/// Applies pairs of a name and a value; settings of a search index apply to the last one.
 pub(crate) fn configure(config: &mut CoordinatorConfig, words: &[&str]) -> Result<(), String> {
     let permissions = &mut config.permissions;
     let index = config.indexes.last_mut().ok_or("no index to configure")?;
--- a/crates/linenthread-messages/src/agreement.rs
+++ b/crates/linenthread-messages/src/agreement.rs
@@ -26,7 +26,7 @@
     pub low: u64,
 }
 
-/// Identifies an order: one that is sent again has the same identity.
+/// The identity of an order, which stays the same when the order is sent again.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct OrderIdentity {
     /// The revision of the configuration in the order.
@@ -176,7 +176,7 @@
     pub ballot: Ballot,
 }
 
-/// Rejects a [`Prepare`] or [`Accept`]: the acceptor has promised a greater ballot for this instance.
+/// The rejection of a [`Prepare`] or [`Accept`]: the acceptor has promised a greater ballot for this instance.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Rejected {
     /// The Paxos instance.
@@ -187,7 +187,7 @@
     pub promised: Ballot,
 }
 
-/// Requests the decided values that the sender lacks.
+/// A request for the decided values that the sender lacks.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct CatchUpRequest {
     /// The number of the newest decided value that the sender has.
@@ -195,7 +195,7 @@
     pub number: u64,
 }
 
-/// Requests the accepted orders with revisions from `newest` down to, but not including, `above`.
+/// A request for the accepted orders with revisions from `newest` down to, but not including, `above`.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct OrderLogRequest {
     /// The newest requested revision.
@@ -229,7 +229,7 @@
     pub order_log_record: u64,
 }
 
-/// Asks a voter for its decided and accepted values, to confirm that a read returns the newest value.
+/// A request to a voter for its decided and accepted values, to confirm that a read returns the newest value.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ReadRequest {
     /// Identifies the read; replies with another id are ignored.
--- a/crates/linenthread-messages/src/frame.rs
+++ b/crates/linenthread-messages/src/frame.rs
@@ -36,7 +36,7 @@
 /// Appends a message to the buffer as a frame. Receivers reject frames longer than [`MAX_FRAME_LENGTH`].
 ///
 /// # Panics
-/// If the buffer would exceed the address space.
+/// Panics if the buffer would exceed the address space.
 pub fn encode(message: PeerMessage, buffer: &mut BytesMut) {
     let envelope = Envelope {
         message: Some(message),
@@ -50,7 +50,7 @@
 /// Removes one complete frame from the start of the buffer and decodes it. Returns `None` if the frame is incomplete.
 ///
 /// # Errors
-/// If the frame is over the limit or contains no valid message. The connection cannot be used any further.
+/// Fails if the frame is over the limit or contains no valid message. The connection cannot be used any further.
 pub fn decode(buffer: &mut BytesMut) -> Result<Option<PeerMessage>, FrameError> {
     let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/linenthread-messages/src/lease.rs
+++ b/crates/linenthread-messages/src/lease.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 
-/// Asks a voter to grant the leader lease for `lease_ms`, counted from when the voter receives the request.
+/// A request to a voter to grant the leader lease for `lease_ms`, counted from when the voter receives the request.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct LeaseRequest {
     /// The epoch, which serves as the fencing token.
@@ -36,7 +36,7 @@
     pub granted: bool,
 }
 
-/// Releases the lease for this epoch and for every earlier epoch of the incarnation.
+/// The release of the lease for this epoch and for every earlier epoch of the incarnation.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct LeaseRelease {
     /// The released epoch.
--- a/crates/linenthread-messages/src/lib.rs
+++ b/crates/linenthread-messages/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`Hello`] from the side that opened it; a version other than [`VERSION`] ends the connection. The field tags define
 //! the wire format and must not change; the Rust names may (`tests/golden.rs` checks the bytes).
 //!
-//! This package contains neither I/O nor the rules for handling messages. Start reading at [`PeerMessage`], which lists
+//! This crate contains neither I/O nor the rules for handling messages. Start reading at [`PeerMessage`], which lists
 //! all messages.
 
 mod agreement;
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -96,7 +96,7 @@
     pub revision: u64,
 }
 
-/// Opens a session. The first message on a connection.
+/// The first message on a connection, which opens a session.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
     /// The sender's [`crate::VERSION`].
@@ -133,7 +133,7 @@
     pub value_number_or_revision: u64,
 }
 
-/// Sent periodically in both directions to keep the session alive, with state that changes often.
+/// A message sent periodically in both directions, which keeps the session alive and contains state that changes often.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
     /// From an ingress node: the number of its newest retry quota request. From a control node: the number of its
@@ -184,7 +184,7 @@
     }
 }
 
-/// How much of the sender's state is synced to its disk.
+/// The part of the sender's state that is synced to its disk.
 #[derive(Clone, PartialEq, Message)]
 pub struct DurableProgress {
     /// The number of the newest synced value, if there is one.
@@ -250,7 +250,7 @@
     pub complete: bool,
 }
 
-/// Acknowledges a [`ControlUpdate`].
+/// The acknowledgement of a [`ControlUpdate`].
 #[derive(Clone, PartialEq, Message)]
 pub struct UpdateAck {
     /// The `update_id` of the update.
