--- a/crates/linenthread-consensus/tests/consensus/lease_release.rs
+++ b/crates/linenthread-consensus/tests/consensus/lease_release.rs
@@ -53,12 +53,12 @@
     from: u64,
     incarnation: Incarnation,
     epoch: u64,
-    is_free: bool,
+    ends_grant: bool,
 ) {
     let mut voter = voter();
     assert_eq!(
         voter.on_release(NodeId(from), &release(incarnation, epoch)),
-        is_free
+        ends_grant
     );
     assert_eq!(
         grants(
@@ -67,7 +67,7 @@
             OTHER,
             &lease_request(OTHER_INCARNATION, Epoch::new(9), 1)
         ),
-        is_free
+        ends_grant
     );
 }
 
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -44,10 +44,10 @@
     }
 
     /// Marks a sub-request that has succeeded to be repeated, if its search index permits repeats.
-    pub(super) fn on_continuation(&mut self, wanted: Continuation) {
-        if let Some(Some(query)) = self.queries.get_mut(wanted.query.0)
+    pub(super) fn on_continuation(&mut self, continuation: Continuation) {
+        if let Some(Some(query)) = self.queries.get_mut(continuation.query.0)
             && self.config.indexes[query.search_index.0].idempotency == Idempotency::Idempotent
-            && let Some(sub_request) = query.sub_requests.get_mut(wanted.sub_request.0)
+            && let Some(sub_request) = query.sub_requests.get_mut(continuation.sub_request.0)
             && sub_request.succeeded
         {
             sub_request.continued_from = Some(sub_request.attempts.len());
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -43,8 +43,8 @@
         )
     }
 
-    /// Returns 1 if the connection failed, 0 if the attempt succeeded, and `None` if the outcome does not allow a
-    /// conclusion about the connection.
+    /// Returns 1 if the connection failed, or if the attempt was slow and ended without a response; 0 if the attempt
+    /// succeeded; and `None` if the outcome does not allow a conclusion about the connection.
     fn connection_failure(&self) -> Option<f64> {
         match (self.outcome, self.connection) {
             (AttemptOutcome::Success, _) => Some(0.0),
@@ -186,9 +186,9 @@
 
     fn mark_succeeded(&mut self, result: &AttemptResult) {
         let query = self.open_query_mut(result.query);
-        let is_wanted = !query.is_finished();
+        let is_open = !query.is_finished();
         let sub_request = &mut query.sub_requests[result.sub_request];
-        sub_request.succeeded |= is_wanted;
+        sub_request.succeeded |= is_open;
         // A response to an attempt from before the continuation does not satisfy the continuation.
         sub_request.continued_from = sub_request
             .continued_from
--- a/crates/linenthread-core/src/policy/natural_replica.rs
+++ b/crates/linenthread-core/src/policy/natural_replica.rs
@@ -113,8 +113,8 @@
             }
     }
 
-    /// Returns the preferred candidate: among those with a sufficient score, the zone must be the nearest, and among
-    /// the ones with few pending attempts the first in hash order wins.
+    /// Returns the preferred candidate. Only candidates with a sufficient score are considered, and of these only the
+    /// ones in the nearest zone. Of the latter, the first in hash order that has few pending attempts is preferred.
     fn preferred(
         &self,
         query: &Query,
--- a/crates/linenthread-core/src/state/fleet.rs
+++ b/crates/linenthread-core/src/state/fleet.rs
@@ -27,7 +27,8 @@
     pub hedge_share: HedgeShare,
     /// 1 for each probe that ended after its timeout, 0 for each other probe.
     pub late_probes: DecayingSums,
-    /// 1 for each attempt on an idle connection that failed because of the connection, 0 for each success.
+    /// 1 for each attempt on an idle connection that failed because of the connection, or that was slow and ended
+    /// without a response; 0 for each success.
     pub idle_connection_failures: DecayingSums,
     /// The same for connections that had not been idle.
     pub active_connection_failures: DecayingSums,
--- a/crates/linenthread-core/src/state/query.rs
+++ b/crates/linenthread-core/src/state/query.rs
@@ -62,7 +62,7 @@
     /// In the order in which they were sent.
     pub attempts: Vec<Attempt>,
     pub succeeded: bool,
-    /// Set if the sub-request has succeeded and is repeated: the number of the first repeated attempt.
+    /// Set if the sub-request has succeeded and is repeated: the number of the first attempt of the repetition.
     pub continued_from: Option<usize>,
 }
 
