--- a/crates/linenthread-consensus/src/round.rs
+++ b/crates/linenthread-consensus/src/round.rs
@@ -39,17 +39,17 @@
     },
 }
 
-/// The result of the first phase, after a majority of the voters has promised.
+/// The result of the prepare phase, after a majority of the voters has promised.
 pub(crate) struct Prepared {
     /// The value that must be proposed, since one of the voters has accepted it and it may be decided already. If
     /// `None`, no value is decided for this number, and none can be under a lower ballot.
     pub(crate) accepted: Option<Value>,
-    /// Start of the first phase.
+    /// Start of the prepare phase.
     pub(crate) started_at: Instant,
 }
 
 impl Round {
-    /// Creates a round in its first phase.
+    /// Creates a round in its prepare phase.
     pub(crate) fn new(number: ValueNumber, ballot: Ballot, now: Instant) -> Round {
         Round {
             number,
@@ -98,7 +98,7 @@
         self.last_sent = now;
     }
 
-    /// Counts a promise. Returns the result of the first phase once a majority has promised.
+    /// Counts a promise. Returns the result of the prepare phase once a majority has promised.
     pub(crate) fn on_promise(
         &mut self,
         from: NodeId,
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Starts the second phase with the value to propose.
+    /// Starts the accept phase with the value to propose.
     pub(crate) fn propose(&mut self, now: Instant, value: Value) {
         self.phase = Phase::Accept {
             value,
--- a/crates/linenthread-core/tests/scenarios/runner.rs
+++ b/crates/linenthread-core/tests/scenarios/runner.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::decision_log::{Bindings, DecisionLog, SentAttempt};
-use crate::setup::{INDEX, configure, default_config};
+use crate::setup::{DEFAULT_INDEX, configure, default_config};
 use crate::values::{number, outcome, phase, time};
 
 /// The time at which a scenario starts.
@@ -77,7 +77,7 @@
         let (first, rest) = words.split_first().ok_or("empty statement")?;
         match *first {
             "with" => configure(&mut self.config, rest)?,
-            "index" if rest.is_empty() => self.config.indexes.push(INDEX),
+            "index" if rest.is_empty() => self.config.indexes.push(DEFAULT_INDEX),
             "snapshot" => self.membership_list(rest, MembershipUpdate::Snapshot)?,
             "cached" => self.membership_list(rest, MembershipUpdate::Cached)?,
             "delta" => self.delta(rest)?,
--- a/crates/linenthread-core/tests/scenarios/setup.rs
+++ b/crates/linenthread-core/tests/scenarios/setup.rs
@@ -8,7 +8,7 @@
 use crate::values::{number, time};
 
 /// The default configuration of a search index.
-pub(crate) const INDEX: IndexConfig = IndexConfig {
+pub(crate) const DEFAULT_INDEX: IndexConfig = IndexConfig {
     idempotency: Idempotency::Idempotent,
     soft_deadline: 10_000,
     value: 1.0,
@@ -27,7 +27,7 @@
     CoordinatorConfig {
         coordinator_number: 0,
         coordinator_count: 1,
-        indexes: vec![INDEX],
+        indexes: vec![DEFAULT_INDEX],
         customer_quotas: Vec::new(),
         over_quota_value: 0.1,
         value_growth: ValueGrowth::Constant,
