--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -11,7 +11,7 @@
 use crate::revision::Revision;
 use crate::value_number::ValueNumber;
 
-/// How this node has learned that a value is decided.
+/// The source from which this node has learned that a value is decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LearnedFrom {
     /// A majority of the voters has just accepted it in a round of this node.
@@ -58,7 +58,7 @@
     /// next number. Only then is the newest value known to this node also the newest decided one.
     ///
     /// # Errors
-    /// Returns the outcome of the change if it needs no round or can never be decided.
+    /// Fails with the outcome of the change if it needs no round or can never be decided.
     pub(crate) fn next_value(&self, decided: &DecidedState) -> Result<Value, Outcome> {
         let revision = decided.revision();
         match self {
