--- a/crates/linenthread-control/src/address_book.rs
+++ b/crates/linenthread-control/src/address_book.rs
@@ -43,7 +43,7 @@
 struct DialState {
     next_dial_at: Instant,
     backoff: Duration,
-    /// When the address was last connected, or when it was learned if it never was.
+    /// When this node last connected to the address, or when the address was learned if it never did.
     last_seen_at: Instant,
 }
 
--- a/crates/linenthread-control/src/config.rs
+++ b/crates/linenthread-control/src/config.rs
@@ -25,7 +25,7 @@
     pub heartbeat_interval: Duration,
     /// Control addresses to dial at start-up.
     pub bootstrap: Vec<String>,
-    /// The cluster starts for the first time, and this node's disk was empty.
+    /// Whether the cluster starts for the first time and this node's disk was empty.
     pub is_genesis: bool,
     /// The number of retries that all ingress nodes together may make in any window.
     pub retry_allowance: f64,
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -77,8 +77,8 @@
 }
 
 impl ControlNode {
-    /// Creates a node from the state on its disk. `id` is the identity of the disk; `genesis` is value 0 if the whole
-    /// system starts for the first time.
+    /// Creates a node from the state on its disk. `id` is the identity of the disk; `genesis` is value 0 if the
+    /// cluster starts for the first time.
     pub fn new(
         config: NodeConfig,
         id: NodeId,
--- a/crates/linenthread-control/src/control_node/admission.rs
+++ b/crates/linenthread-control/src/control_node/admission.rs
@@ -15,7 +15,7 @@
     }
 
     /// Returns the response to a call on the register that must be rejected. Unlike [`ControlNode::rejection`], it accepts
-    /// calls during startup: they wait for a round of the voters anyway, and contact may be established in time.
+    /// calls during start-up: they wait for a round of the voters anyway, and contact may be established in time.
     pub(super) fn register_call_rejection(&self, now: Instant) -> Option<Response> {
         if !self.is_shutting_down() && self.contact.is_starting(now) {
             return None;
@@ -36,7 +36,7 @@
     }
 
     /// Reports whether an ingress node may open a session. Without contact with a majority it has to connect to another
-    /// control node, except during startup, when it waits for contact here.
+    /// control node, except during start-up, when it waits for contact here.
     pub(super) fn accepts_ingress_sessions(&self, now: Instant) -> bool {
         !self.is_shutting_down() && (self.has_quorum(now) || self.contact.is_starting(now))
     }
--- a/crates/linenthread-control/src/control_node/usage.rs
+++ b/crates/linenthread-control/src/control_node/usage.rs
@@ -57,7 +57,7 @@
 
     /// Sends the other control nodes the counts that this node has received since the last call.
     pub(super) fn flush_usage(&mut self, effects: &mut Vec<Effect>) {
-        let ingress_nodes = self.usage_ledger.take_news();
+        let ingress_nodes = self.usage_ledger.take_unsent();
         if ingress_nodes.is_empty() {
             return;
         }
@@ -195,7 +195,8 @@
         }
     }
 
-    /// Releases the lease if this node still holds it under the refused epoch: another node has used a higher fence.
+    /// Releases the lease if this node still holds it under the refused epoch: another node has used a higher fencing
+    /// token.
     fn step_down(&mut self, now: Instant, refused: Epoch, effects: &mut Vec<Effect>) {
         effects.push(Effect::Log(ControlEvent::FenceRefused { epoch: refused }));
         if self.lease_epoch(now) == Some(refused) {
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -34,7 +34,8 @@
     /// granted it to this node, or all earlier grants have expired. Without this check two removals in a row could lead
     /// to two lease holders.
     fn earlier_leases_have_ended(&self, now: Instant) -> bool {
-        self.lease.is_held_at(now, self.value_number()) || self.voting.earlier_leases_are_over(now)
+        self.lease.is_held_at(now, self.value_number())
+            || self.voting.earlier_leases_have_expired(now)
     }
 
     /// Proposes a change of the voters if one is needed and this node is responsible for it. Only one change is in
--- a/crates/linenthread-control/src/control_peer.rs
+++ b/crates/linenthread-control/src/control_peer.rs
@@ -37,7 +37,7 @@
     /// Number of the newest value up to which the peer's disk holds everything.
     durable_value_number: Option<ValueNumber>,
     is_shutting_down: bool,
-    /// Whether the peer is the leader and is about to change the voters.
+    /// Whether the peer is the preferred leader and is about to change the voters, whether or not it holds the lease.
     is_reconfiguring: bool,
     /// When this node sent the newest of its heartbeats that the peer has acknowledged.
     acknowledged_sent_at: Option<Instant>,
@@ -121,7 +121,7 @@
         self.is_shutting_down
     }
 
-    /// Reports whether the peer is the leader and is about to change the voters.
+    /// Reports whether the peer is the preferred leader and is about to change the voters.
     pub(crate) fn is_reconfiguring(&self) -> bool {
         self.is_reconfiguring
     }
--- a/crates/linenthread-control/src/event.rs
+++ b/crates/linenthread-control/src/event.rs
@@ -58,7 +58,7 @@
         /// Epoch of the lease.
         epoch: Epoch,
     },
-    /// The node, as the leader, proposed a change of the voters. The proposed voters vote once
+    /// The node, as the preferred leader, proposed a change of the voters. The proposed voters vote once
     /// [`ControlEvent::ValueDecided`] follows.
     VoterChangeProposed {
         /// Number of the value that the change is based on.
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -49,7 +49,7 @@
     pub has_standby: bool,
     /// A peer in contact has not yet acknowledged that the node is shutting down.
     pub has_unacknowledged: bool,
-    /// The leader is about to change the voters.
+    /// The preferred leader is about to change the voters.
     pub is_reconfiguring: bool,
 }
 
--- a/crates/linenthread-control/src/peer_heartbeat.rs
+++ b/crates/linenthread-control/src/peer_heartbeat.rs
@@ -21,7 +21,7 @@
     /// When this node sent the newest of its heartbeats that the peer has received.
     pub(crate) echoed_sent_at: Option<Instant>,
     pub(crate) is_shutting_down: bool,
-    /// Whether the peer is the leader and is about to change the voters.
+    /// Whether the peer is the preferred leader and is about to change the voters, whether or not it holds the lease.
     pub(crate) is_reconfiguring: bool,
     /// The time of the peer's own wall clock when it sent this heartbeat.
     pub(crate) wall_time: Option<WallTime>,
--- a/crates/linenthread-control/src/pending_jobs.rs
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -13,7 +13,7 @@
     /// A session with an ingress node, for which the job is the read barrier: the configuration is sent on the session
     /// once this read has completed.
     Confirmation(SessionId),
-    /// A change of the voters that this node proposed as the leader.
+    /// A change of the voters that this node proposed as the preferred leader.
     VoterChange,
     /// A usage report that this node proposed as the leader.
     UsageReport,
@@ -45,7 +45,7 @@
         self.has(|owner| matches!(owner, JobOwner::Call(_)))
     }
 
-    /// Reports whether a change of the voters, proposed by this node as the leader, is not decided yet.
+    /// Reports whether a change of the voters, proposed by this node as the preferred leader, is not decided yet.
     pub(crate) fn has_voter_change(&self) -> bool {
         self.has(|owner| matches!(owner, JobOwner::VoterChange))
     }
--- a/crates/linenthread-control/src/quota_allocator.rs
+++ b/crates/linenthread-control/src/quota_allocator.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Starts granting under a newly acquired lease. If this node also held the lease of the previous epoch, no other
-    /// node led in between, and its own grants are the only ones.
+    /// Starts granting under a newly acquired lease. If this process also held the lease of the previous epoch, no
+    /// other node led in between, and its own grants are the only ones.
     pub(crate) fn on_lease_acquired(&mut self, now: Instant, epoch: Epoch) {
         if self.last_epoch.map(Epoch::next) != Some(epoch) {
             let is_first_leader = self.is_genesis && epoch == Epoch::FIRST;
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -1,8 +1,9 @@
-//! Decides which nodes are the next voters. The functions are pure: they map the leader's view to a decision.
+//! Decides which nodes are the next voters. The functions are pure: they map the view of the
+//! preferred leader to a decision.
 
 use linenthread_messages::Voter;
 
-/// The state of the leader's contact with a voter.
+/// The state of the preferred leader's contact with a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterContact {
     /// A round trip succeeded recently.
@@ -13,12 +14,12 @@
     Lost,
 }
 
-/// A voter of the newest value, as seen by the leader.
+/// A voter of the newest value, as seen by the preferred leader.
 #[derive(Clone, Debug)]
 pub struct VoterState {
     /// The voter.
     pub voter: Voter,
-    /// The state of the leader's contact with the voter.
+    /// The state of the preferred leader's contact with the voter.
     pub contact: VoterContact,
     /// Whether another node is at the voter's address now.
     pub replaced: bool,
@@ -78,8 +79,8 @@
 
     /// Reports whether an additional voter makes the set safer: if the set is smaller than `min_voters`, if its size is
     /// even, or if at least two standbys are ready. With only one standby, an odd set would just get a larger majority.
-    /// The same holds beside a voter that may be down, so none is added then: the standby is kept to replace the next
-    /// voter that shuts down or is lost.
+    /// None is added while any voter is out of contact, since that would also only raise the majority. The standby is
+    /// kept to replace the next voter that shuts down or is lost.
     fn needs_additional_voter(&self) -> bool {
         let count = self.voters.len();
         let helps =
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether grants by an earlier leader may still be in use.
+/// Whether grants that this process did not make may still be in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierGrants {
     /// There was no earlier leader.
--- a/crates/linenthread-control/src/usage_duty.rs
+++ b/crates/linenthread-control/src/usage_duty.rs
@@ -130,7 +130,8 @@
         self.delivered
     }
 
-    /// Returns those of these decided reports, ordered from the oldest, that the platform is not known to have.
+    /// Returns the decided reports in `reports` (oldest first) that the platform is not known to have, without abandoned
+    /// ones.
     pub fn undelivered<'a>(
         &self,
         reports: &'a [UsageReport],
@@ -156,7 +157,7 @@
         !self.is_refused(epoch) && (has_called || now >= self.last_call_at + self.lease)
     }
 
-    /// Returns the next call, if one is due. It sends the oldest decided report that the platform is not known to have.
+    /// Returns the next call, if one is due. It sends the oldest of [`UsageDuty::undelivered`].
     pub fn next_call(
         &mut self,
         now: Instant,
--- a/crates/linenthread-control/src/usage_ledger.rs
+++ b/crates/linenthread-control/src/usage_ledger.rs
@@ -78,7 +78,7 @@
 
     /// Removes and returns the counts to send to the other control nodes: those received from ingress nodes since the
     /// last call.
-    pub fn take_news(&mut self) -> Vec<IngressUsage> {
+    pub fn take_unsent(&mut self) -> Vec<IngressUsage> {
         std::mem::take(&mut self.unsent)
     }
 
--- a/crates/linenthread-control/src/voting_state.rs
+++ b/crates/linenthread-control/src/voting_state.rs
@@ -42,7 +42,7 @@
     }
 
     /// Reports whether all leases granted by earlier sets of voters have expired.
-    pub(crate) fn earlier_leases_are_over(&self, now: Instant) -> bool {
+    pub(crate) fn earlier_leases_have_expired(&self, now: Instant) -> bool {
         now >= self.voters_learned_at + LEASE_DURATION
     }
 
--- a/crates/linenthread-control/tests/agreed_time.rs
+++ b/crates/linenthread-control/tests/agreed_time.rs
@@ -21,7 +21,8 @@
     ClockOffset::between(OBSERVED, clock_time(OBSERVED, error_ms))
 }
 
-/// The agreed time after the clocks of this node and of its peers were observed, with these errors in milliseconds.
+/// Returns the agreed time after the clocks of this node and of its peers were observed, with these errors in
+/// milliseconds.
 fn agreed(own: i64, peers: &[i64]) -> AgreedTime {
     let mut agreed = AgreedTime::default();
     agreed.observe_own(OBSERVED, clock_time(OBSERVED, own));
--- a/crates/linenthread-control/tests/golden.rs
+++ b/crates/linenthread-control/tests/golden.rs
@@ -112,8 +112,8 @@
     }
 }
 
-/// The records that a control node wrote, call by call: its identity, decided values, orders, replicas, a vote for the
-/// leader lease, a promise, and an accepted value that is not decided.
+/// Returns the records that a control node wrote, call by call: its identity, decided values, orders, replicas, a vote
+/// for the leader lease, a promise, and an accepted value that is not decided.
 fn writes() -> Vec<Vec<Record>> {
     let identity = Record {
         id: Some(0xa1a2_a3a4_a5a6_a7a8),
@@ -158,7 +158,7 @@
     ]
 }
 
-/// A record of which only the beginning fitted on the disk.
+/// Returns a record of which only the beginning fitted on the disk.
 fn torn_write() -> Record {
     Record {
         decided: Some(value(13, b"{\"routes\":[1]}".to_vec())),
@@ -166,7 +166,7 @@
     }
 }
 
-/// The record that is written after the torn tail was truncated.
+/// Returns the record that is written after the torn tail was truncated.
 fn write_after_torn() -> Record {
     Record {
         number: 13,
@@ -189,7 +189,8 @@
     state
 }
 
-/// The two records into which the state of [`writes`] is compacted, spelled out: the consensus starts from them.
+/// Returns the two records into which the state of [`writes`] is compacted, spelled out: the consensus starts from
+/// them.
 fn expected_records() -> Vec<Record> {
     let compacted = Record {
         id: Some(0xa1a2_a3a4_a5a6_a7a8),
--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -64,7 +64,7 @@
     )
 }
 
-/// A control node with a peer, an ingress node and two replicas.
+/// Returns a control node with a peer, an ingress node and two replicas.
 fn busy_control_node() -> ControlNode {
     let mut control = control_node();
     let mut effects: Vec<Effect> = Vec::new();
--- a/crates/linenthread-control/tests/nodes/cluster.rs
+++ b/crates/linenthread-control/tests/nodes/cluster.rs
@@ -20,7 +20,7 @@
 /// Latency of messages, connection events and platform calls.
 const LATENCY: Duration = ms(1);
 
-/// When the first start of the whole system happens, with the genesis value.
+/// When the cluster starts for the first time, with the genesis value.
 const FIRST_START: Instant = Instant::from_millis(10_000);
 
 /// The time of day at time 0 of the simulated clock. It is the start of a window of 1 s, 2 s or 5 s.
--- a/crates/linenthread-control/tests/nodes/platform.rs
+++ b/crates/linenthread-control/tests/nodes/platform.rs
@@ -1,4 +1,4 @@
-//! A simulated platform that receives usage reports: checks fences, records accepted calls, and simulates failures.
+//! A simulated platform that receives usage reports: checks fencing tokens, records accepted calls, and simulates failures.
 
 use linenthread_control::{Epoch, PlatformCall, PlatformOutcome};
 use linenthread_time::Instant;
@@ -6,7 +6,7 @@
 /// How the simulated platform responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Behaviour {
-    /// Accepts all calls whose fence is not too low.
+    /// Accepts all calls whose fencing token is not too low.
     #[default]
     Healthy,
     /// Rejects every call as busy.
@@ -81,8 +81,8 @@
     }
 
     /// Panics if the accepted calls violate *one-report-per-window* (two different bodies for a window),
-    /// *one-sender-per-fence* (two nodes with the same fence), or *no-return-within-lease* (a node calls again within the
-    /// lease time of its earlier call, with a call of another node in between).
+    /// *one-sender-per-fence* (two nodes with the same fencing token), or *no-return-within-lease* (a node calls
+    /// again within the lease time of its earlier call, with a call of another node in between).
     pub(crate) fn assert_single_reporter(&self, lease: std::time::Duration) {
         for (index, call) in self.accepted.iter().enumerate() {
             for later in &self.accepted[index + 1..] {
--- a/crates/linenthread-control/tests/nodes/usage_reports.rs
+++ b/crates/linenthread-control/tests/nodes/usage_reports.rs
@@ -215,7 +215,7 @@
     assert_eq!(cluster.platform.body(window), Some(body(window, 7)));
 }
 
-// Guards against a leader that keeps calling under a fence that the platform has refused.
+// Guards against a leader that keeps calling under a fencing token that the platform has refused.
 #[test]
 fn a_leader_whose_fence_is_refused_releases_the_lease() {
     let mut cluster = cluster(3);
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -88,7 +88,7 @@
     effects
 }
 
-/// A heartbeat of a peer that has received the heartbeat sent at `now`.
+/// Returns a heartbeat of a peer that has received the heartbeat sent at `now`.
 fn round_trip(now: u64) -> PeerMessage {
     let heartbeat = Heartbeat {
         has_quorum: true,
@@ -276,7 +276,7 @@
         .collect()
 }
 
-/// A node in contact with a majority that received the heartbeat of a replica at 0 ms.
+/// Returns a node in contact with a majority that received the heartbeat of a replica at 0 ms.
 fn node_with_replica() -> ControlNode {
     let (mut control, mut effects) = (node(), Vec::new());
     connect(&mut control, 0, 1, 2, VERSION);
@@ -296,7 +296,7 @@
     assert!(snapshots(&effects).is_empty(), "it may still be in flight");
     control.tick(at(4_400), &mut effects);
     let [(record, after_sync)] = snapshots(&effects)[..] else {
-        panic!("a snapshot that is not synced is written repeated");
+        panic!("a snapshot that is not synced must be written again");
     };
     assert_eq!(record.replicas.len(), 1);
     control.on_synced(at(4_410), after_sync.to_vec(), &mut Vec::new());
@@ -437,7 +437,7 @@
 /// The true wall-clock time at the start of the monotonic clock.
 const TRUE_START_MS: u64 = 1_767_225_600_000;
 
-/// A heartbeat of a peer whose clock is ahead by `error_ms`.
+/// Returns a heartbeat of a peer whose clock is ahead by `error_ms`.
 fn heartbeat_with_clock(now: u64, error_ms: u64) -> PeerMessage {
     let PeerMessage::Heartbeat(heartbeat) = round_trip(now) else {
         panic!("no heartbeat")
--- a/crates/linenthread-control/tests/usage_ledger.rs
+++ b/crates/linenthread-control/tests/usage_ledger.rs
@@ -84,8 +84,8 @@
     let own = usage("a", 1, &[(7, "t", 3)]);
     ledger.on_ingress_usage(own.clone());
     ledger.merge(&usage("b", 4, &[(7, "t", 2)]));
-    assert_eq!(ledger.take_news(), [own]);
-    assert_eq!(ledger.take_news(), []);
+    assert_eq!(ledger.take_unsent(), [own]);
+    assert_eq!(ledger.take_unsent(), []);
 }
 
 // Guards against a second report for a window, and against unbounded memory.
@@ -113,7 +113,7 @@
     assert_eq!(ledger.dropped_requests(), 12);
 }
 
-/// One request by each of `tenants` tenants in each of `windows` windows.
+/// Returns one request by each of `tenants` tenants in each of `windows` windows.
 fn usage_of_many_tenants(name: &str, windows: u64, tenants: usize) -> IngressUsage {
     let tenants: Vec<TenantCount> = (0..tenants)
         .map(|tenant| TenantCount {
