--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -45,7 +45,7 @@
 /// The work of other nodes that delays the shutdown.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerWork {
-    /// A standby is ready to replace a voter.
+    /// There is a standby, which can replace a voter now or once its disk holds everything.
     pub has_standby: bool,
     /// A peer in contact has not yet acknowledged that the node is shutting down.
     pub has_unacknowledged: bool,
--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Decides which nodes are the next voters. The functions are pure: they map the view of the
-//! preferred leader to a decision.
+//! Decides which nodes are the next voters. The functions are pure: they map the view of the preferred
+//! leader to a decision.
 
 use linenthread_messages::Voter;
 
--- a/crates/linenthread-control/tests/agreed_time.rs
+++ b/crates/linenthread-control/tests/agreed_time.rs
@@ -13,8 +13,8 @@
 
 /// Returns the time of a clock that is off by `error_ms`.
 fn clock_time(now: Instant, error_ms: i64) -> WallTime {
-    let truth = TRUE_START_MS + now.as_millis();
-    WallTime::from_millis(truth.checked_add_signed(error_ms).expect("after 1970"))
+    let true_ms = TRUE_START_MS + now.as_millis();
+    WallTime::from_millis(true_ms.checked_add_signed(error_ms).expect("after 1970"))
 }
 
 fn offset(error_ms: i64) -> ClockOffset {
--- a/crates/linenthread-control/tests/golden_json.rs
+++ b/crates/linenthread-control/tests/golden_json.rs
@@ -35,7 +35,7 @@
         id: NodeId::genesis(address).0,
         address: address.clone(),
     };
-    let local = NodeConfig {
+    let config = NodeConfig {
         name: "control-1".to_owned(),
         zone: "zone-a".to_owned(),
         incarnation: Incarnation::new(1),
@@ -56,7 +56,7 @@
     };
     let id = NodeId::genesis(&address(1));
     ControlNode::new(
-        local,
+        config,
         id,
         DurableState::default(),
         Some(genesis),
--- a/crates/linenthread-control/tests/nodes/platform.rs
+++ b/crates/linenthread-control/tests/nodes/platform.rs
@@ -90,7 +90,7 @@
                     assert_eq!(later.body, call.body, "two reports for one window");
                 }
                 if later.fence == call.fence {
-                    assert_eq!(later.node, call.node, "two holders with one fence");
+                    assert_eq!(later.node, call.node, "two nodes with one fencing token");
                 }
             }
             let others_between = |end: usize| {
--- a/crates/linenthread-control/tests/nodes/usage_reports.rs
+++ b/crates/linenthread-control/tests/nodes/usage_reports.rs
@@ -229,7 +229,10 @@
     cluster.platform.highest_fence = epoch.next();
     cluster.run(ms(20_000));
     let later = &cluster.platform.accepted[calls..];
-    assert!(!later.is_empty(), "reports are sent under a higher fence");
+    assert!(
+        !later.is_empty(),
+        "reports are sent under a higher fencing token"
+    );
     assert!(later.iter().all(|call| call.fence > epoch));
 }
 
--- a/crates/linenthread-control/tests/single_node.rs
+++ b/crates/linenthread-control/tests/single_node.rs
@@ -37,7 +37,7 @@
             address: a.clone(),
         })
         .collect();
-    let local = NodeConfig {
+    let config = NodeConfig {
         name: "node-1".into(),
         zone: "z".into(),
         incarnation: Incarnation::new(1),
@@ -56,7 +56,7 @@
         ..Value::default()
     };
     ControlNode::new(
-        local,
+        config,
         NodeId::genesis(&address(1)),
         DurableState::default(),
         Some(genesis),
--- a/crates/linenthread-control/tests/usage_duty.rs
+++ b/crates/linenthread-control/tests/usage_duty.rs
@@ -44,18 +44,18 @@
 
 /// Makes a call under an epoch, which the platform accepts.
 fn make_accepted_call(duty: &mut UsageDuty, now: u64, epoch: u64, window: u64) {
-    let made = call(duty, now, epoch, &[window]).expect("a call");
-    duty.on_outcome(at(now), made.id, PlatformOutcome::Accepted);
+    let platform_call = call(duty, now, epoch, &[window]).expect("a call");
+    duty.on_outcome(at(now), platform_call.id, PlatformOutcome::Accepted);
 }
 
 // Guards against calls of different nodes under one fencing token, and against bytes that differ from the decided ones.
 #[test]
 fn a_call_carries_the_epoch_of_the_lease_and_the_decided_bytes() {
     let mut duty = duty();
-    let made = call(&mut duty, 4_000, 9, &[5, 6]).expect("a call");
-    assert_eq!(made.fence, Epoch::new(9));
-    assert_eq!(made.report, report(5));
-    assert_eq!(made.not_after, at(1_000_000));
+    let platform_call = call(&mut duty, 4_000, 9, &[5, 6]).expect("a call");
+    assert_eq!(platform_call.fence, Epoch::new(9));
+    assert_eq!(platform_call.report, report(5));
+    assert_eq!(platform_call.not_after, at(1_000_000));
 }
 
 // Guards against a call whose first byte is written when another node may hold the lease.
@@ -91,9 +91,9 @@
 #[test]
 fn the_wait_starts_at_the_end_of_the_last_call() {
     let mut duty = duty();
-    let made = call(&mut duty, 10_000, 9, &[5]).expect("a call");
+    let platform_call = call(&mut duty, 10_000, 9, &[5]).expect("a call");
     assert_eq!(call(&mut duty, 12_000, 11, &[5]), None, "still in flight");
-    duty.on_outcome(at(12_500), made.id, PlatformOutcome::Unknown);
+    duty.on_outcome(at(12_500), platform_call.id, PlatformOutcome::Unknown);
     assert_eq!(call(&mut duty, 15_499, 11, &[5]), None);
     assert!(call(&mut duty, 15_500, 11, &[5]).is_some());
 }
@@ -109,9 +109,9 @@
 #[test]
 fn a_refused_epoch_is_never_used_again() {
     let mut duty = duty();
-    let made = call(&mut duty, 10_000, 9, &[5]).expect("a call");
+    let platform_call = call(&mut duty, 10_000, 9, &[5]).expect("a call");
     assert_eq!(
-        duty.on_outcome(at(10_100), made.id, PlatformOutcome::FenceTooLow),
+        duty.on_outcome(at(10_100), platform_call.id, PlatformOutcome::FenceTooLow),
         Some(CallConsequence::StepDown {
             epoch: Epoch::new(9)
         })
@@ -132,18 +132,18 @@
 )]
 fn a_failed_report_is_sent_again_after_a_backoff(outcome: PlatformOutcome) {
     let mut duty = duty();
-    let made = call(&mut duty, 10_000, 9, &[5, 6]).expect("a call");
+    let platform_call = call(&mut duty, 10_000, 9, &[5, 6]).expect("a call");
     assert_eq!(
-        duty.on_outcome(at(10_000), made.id, outcome),
+        duty.on_outcome(at(10_000), platform_call.id, outcome),
         Some(CallConsequence::Retry {
             window: WindowNumber::new(5),
             outcome
         })
     );
     assert_eq!(call(&mut duty, 10_050, 9, &[5, 6]), None);
-    let again = call(&mut duty, 10_300, 9, &[5, 6]).expect("a call");
-    assert_eq!(again.report, made.report);
-    assert_ne!(again.id, made.id);
+    let retry = call(&mut duty, 10_300, 9, &[5, 6]).expect("a call");
+    assert_eq!(retry.report, platform_call.report);
+    assert_ne!(retry.id, platform_call.id);
     assert_eq!(duty.delivered(), None);
 }
 
@@ -153,9 +153,9 @@
     let (mut duty, mut now) = (duty(), 10_000);
     let mut called_at = Vec::new();
     while called_at.len() < 12 {
-        if let Some(made) = call(&mut duty, now, 9, &[5]) {
+        if let Some(platform_call) = call(&mut duty, now, 9, &[5]) {
             called_at.push(now);
-            duty.on_outcome(at(now), made.id, PlatformOutcome::Busy);
+            duty.on_outcome(at(now), platform_call.id, PlatformOutcome::Busy);
         }
         now += 10;
     }
@@ -174,9 +174,9 @@
 #[test]
 fn only_one_call_is_in_flight_at_a_time() {
     let mut duty = duty();
-    let made = call(&mut duty, 10_000, 9, &[5, 6]).expect("a call");
+    let platform_call = call(&mut duty, 10_000, 9, &[5, 6]).expect("a call");
     assert_eq!(call(&mut duty, 10_100, 9, &[5, 6]), None);
-    duty.on_outcome(at(10_100), made.id, PlatformOutcome::Accepted);
+    duty.on_outcome(at(10_100), platform_call.id, PlatformOutcome::Accepted);
     let next = call(&mut duty, 10_200, 9, &[5, 6]).expect("a call");
     assert_eq!(next.report, report(6));
 }
@@ -184,8 +184,8 @@
 #[test]
 fn the_outcome_of_another_call_is_ignored() {
     let mut duty = duty();
-    let made = call(&mut duty, 10_000, 9, &[5]).expect("a call");
-    let other = made.id.next();
+    let platform_call = call(&mut duty, 10_000, 9, &[5]).expect("a call");
+    let other = platform_call.id.next();
     assert_eq!(
         duty.on_outcome(at(10_000), other, PlatformOutcome::Accepted),
         None
@@ -208,10 +208,10 @@
     let mut duty = duty();
     let mut last = None;
     for round in 0..8u64 {
-        let made = call(&mut duty, 20_000 + round * 10_000, 9, &[5]).expect("a call");
+        let platform_call = call(&mut duty, 20_000 + round * 10_000, 9, &[5]).expect("a call");
         last = duty.on_outcome(
             at(20_000 + round * 10_000),
-            made.id,
+            platform_call.id,
             PlatformOutcome::Rejected,
         );
     }
