--- a/crates/linenthread-control/src/reconfiguration.rs
+++ b/crates/linenthread-control/src/reconfiguration.rs
@@ -21,7 +21,7 @@
     pub voter: Voter,
     /// The state of the preferred leader's contact with the voter.
     pub contact: VoterContact,
-    /// Whether another node is at the voter's address now.
+    /// Whether another node, which is eligible as a voter, was last seen at the voter's address.
     pub replaced: bool,
     /// Whether the voter is shutting down, or exited after a graceful shutdown.
     pub shutting_down: bool,
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -356,7 +356,8 @@
         expired
     }
 
-    /// Returns a checksum that is equal for registries with the same replicas, whatever the order of the reports.
+    /// Returns a checksum of the replicas that have not ended. It is equal for registries with the same replicas,
+    /// whatever the order of the reports.
     pub fn digest(&self) -> u64 {
         if let Some(digest) = self.digest.get() {
             return digest;
