--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -147,8 +147,9 @@
         let replaced =
             last_seen.is_some_and(|seen| seen.node_id != voter.into() && seen.voter_eligible);
         // If another eligible node runs at the voter's address, the voter will not return: it counts as lost
-        // immediately, without waiting for the time-out. However, while that other node is in contact and not shutting down, it will take the
-        // voter's place itself once its disk holds everything. Until the time-out the place is kept for it.
+        // immediately, without waiting for the time-out. However, while that other node is in contact and not shutting
+        // down, it will take the voter's place itself once its disk holds everything. Until the time-out the place is
+        // kept for it.
         let is_successor = |peer: &ControlPeer| {
             peer.hello().control_address == voter.address && !peer.is_shutting_down()
         };
