--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -34,7 +34,8 @@
     /// granted it to this node, or all earlier grants have expired. Without this check two removals in a row could lead
     /// to two lease holders.
     fn earlier_leases_have_ended(&self, now: Instant) -> bool {
-        self.lease.is_held_at(now, self.value_number()) || self.voting.earlier_leases_are_over(now)
+        self.lease.is_held_at(now, self.value_number())
+            || self.voting.earlier_leases_have_expired(now)
     }
 
     /// Proposes a change of the voters if one is needed and this node is responsible for it. Only one change is in
@@ -145,9 +146,10 @@
         let out_of_contact_since = last_seen_at.max(self.contact.since().unwrap_or(now));
         let replaced =
             last_seen.is_some_and(|seen| seen.node_id != voter.into() && seen.voter_eligible);
-        // If another node runs at the voter's address, the voter will not return: it counts as lost immediately, without
-        // waiting for the time-out. However, while that other node is in contact and not shutting down, it will take the
-        // voter's place itself once its disk holds everything. Until the time-out the place is kept for it.
+        // If another eligible node runs at the voter's address, the voter will not return: it counts as lost
+        // immediately, without waiting for the time-out. However, while that other node is in contact and not shutting
+        // down, it will take the voter's place itself once its disk holds everything. Until the time-out the place is
+        // kept for it.
         let is_successor = |peer: &ControlPeer| {
             peer.hello().control_address == voter.address && !peer.is_shutting_down()
         };
