--- a/crates/linenthread-config/src/configuration.rs
+++ b/crates/linenthread-config/src/configuration.rs
@@ -53,10 +53,10 @@
     pub path_prefix: String,
     /// Whether requests may be sent more than once.
     pub mode: Mode,
-    /// Time-out of a request in milliseconds; may be fractional.
+    /// Timeout of a request in milliseconds; may be fractional.
     #[serde(rename = "limit_ms")]
     pub timeout_ms: f64,
-    /// Target latency of responses in milliseconds; absent: the time-out.
+    /// Target latency of responses in milliseconds; absent: the timeout.
     #[serde(default, rename = "target_ms")]
     pub latency_target_ms: Option<f64>,
     /// Priority under load; 0 is the highest.
@@ -134,7 +134,7 @@
     pub max_connections: Option<usize>,
 }
 
-/// Size limits and time-outs of clients' requests.
+/// Size limits and timeouts of clients' requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct RequestLimits {
@@ -144,7 +144,7 @@
     /// Maximum length of a request body, in bytes.
     #[serde(rename = "payload_bytes")]
     pub max_body_bytes: usize,
-    /// Time-out for receiving a request head, from its first byte to its last.
+    /// Timeout for receiving a request head, from its first byte to its last.
     #[serde(rename = "header_ms", deserialize_with = "milliseconds")]
     pub header_timeout: Duration,
     /// Time after which an idle connection is closed.
--- a/crates/linenthread-config/tests/tenants.rs
+++ b/crates/linenthread-config/tests/tenants.rs
@@ -225,6 +225,6 @@
     clients: &str,
     expected: Result<Option<Rc<Tenant>>, UnknownKey>,
 ) {
-    let got = authorize(Some(clients), "/closed/", Credentials::Bearer(b"k"));
-    assert_eq!(got, expected);
+    let actual = authorize(Some(clients), "/closed/", Credentials::Bearer(b"k"));
+    assert_eq!(actual, expected);
 }
--- a/crates/linenthread-ctl/src/client.rs
+++ b/crates/linenthread-ctl/src/client.rs
@@ -13,12 +13,12 @@
 /// Maximum number of redirects per round to addresses that are not in the client's list.
 const MAX_UNLISTED_REDIRECTS: usize = 2;
 
-/// A client of the control API that knows several control nodes.
+/// A client of the control API of several control nodes.
 #[derive(Clone, Debug)]
 pub struct Client {
     /// Addresses of the control nodes, in the order in which they are tried.
     pub addresses: Vec<SocketAddr>,
-    /// Time-out of an attempt at one address.
+    /// Timeout of an attempt at one address.
     pub timeout: Duration,
 }
 
@@ -62,7 +62,7 @@
     /// final; the target of a redirect is tried next.
     ///
     /// # Errors
-    /// No address gave a final response.
+    /// Fails if no address gave a final response.
     pub fn send(&self, request: &Request<'_>, rounds: usize) -> Result<Response, NoFinalResponse> {
         let mut failed = NoFinalResponse::default();
         for _ in 0..rounds.max(1) {
@@ -76,7 +76,7 @@
     /// Sends a request to one address, without retries.
     ///
     /// # Errors
-    /// No valid response was received, or its status is not 200.
+    /// Fails if no valid response was received, or its status is not 200.
     pub fn send_to_one(
         &self,
         address: SocketAddr,
--- a/crates/linenthread-ctl/src/commands.rs
+++ b/crates/linenthread-ctl/src/commands.rs
@@ -26,7 +26,7 @@
 
 /// The environment variable for the addresses of the control nodes.
 const CONTROL_VARIABLE: &str = "LINENTHREAD_CONTROL";
-/// Time-out of a request to one control node.
+/// Timeout of a request to one control node.
 const TIMEOUT: Duration = Duration::from_secs(3);
 /// Number of times that all control nodes are tried for a read.
 const READ_ROUNDS: usize = 2;
--- a/crates/linenthread-ctl/src/difference.rs
+++ b/crates/linenthread-ctl/src/difference.rs
@@ -79,7 +79,7 @@
 /// keys.
 ///
 /// # Errors
-/// A document is not JSON.
+/// Fails if a document is not JSON.
 pub fn configuration_changes(
     old: Option<&[u8]>,
     new: &[u8],
--- a/crates/linenthread-ctl/src/duties.rs
+++ b/crates/linenthread-ctl/src/duties.rs
@@ -83,7 +83,7 @@
 }
 
 impl DutiesStatus {
-    /// Merges the reports of control nodes. A node may report twice, at two addresses.
+    /// Merges the reports of control nodes. A node that reports twice, at two addresses, does no harm.
     pub fn new(reports: &[DutyReport], unreachable: Vec<UnreachableNode>) -> DutiesStatus {
         let names: BTreeSet<&str> = reports.iter().map(|report| report.duty.as_str()).collect();
         let duties = names.into_iter().map(|name| {
--- a/crates/linenthread-ctl/src/lib.rs
+++ b/crates/linenthread-ctl/src/lib.rs
@@ -1,8 +1,8 @@
 //! The library of `linenthread-ctl`, the operators' command-line client: HTTP calls to control nodes, decoding of their
 //! reports, and differences between configurations.
 //!
-//! The client is stateless. It uses the HTTP control API and is independent of the protocol between nodes. Start
-//! reading at [`Client`].
+//! The client is stateless and makes no decisions of its own. It uses the HTTP control API and is independent of the
+//! protocol between nodes. Start reading at [`Client`].
 
 mod client;
 pub mod control_api;
--- a/crates/linenthread-ctl/src/request.rs
+++ b/crates/linenthread-ctl/src/request.rs
@@ -17,7 +17,7 @@
 const MAX_BODY_BYTES: usize = 64 << 20;
 /// Maximum number of bytes per read from the connection.
 const READ_BYTES: usize = 16_384;
-/// Minimum time-out, since the operating system treats 0 as no time-out.
+/// Minimum timeout, since the operating system treats 0 as no timeout.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// The reason why a request has no valid response.
@@ -115,7 +115,8 @@
     /// Sends the request over a new connection and waits for the complete response.
     ///
     /// # Errors
-    /// The step that failed. After a time-out, the kind of the source is [`io::ErrorKind::WouldBlock`] or `TimedOut`.
+    /// Fails at the step that the error names. After a timeout, the kind of the source is
+    /// [`io::ErrorKind::WouldBlock`] or `TimedOut`.
     pub fn send_to(&self, peer: SocketAddr, timeout: Duration) -> Result<Response, RequestError> {
         Connection::open(peer, timeout)?.exchange(self, Persistence::Close)
     }
@@ -177,7 +178,7 @@
     /// Sends a request, waits for the complete response and keeps the connection open.
     ///
     /// # Errors
-    /// The step that failed. The connection can't be used afterwards.
+    /// Fails at the step that the error names. The connection can't be used afterwards.
     pub fn send(
         &mut self,
         request: &Request<'_>,
--- a/crates/linenthread-ctl/src/status.rs
+++ b/crates/linenthread-ctl/src/status.rs
@@ -1,7 +1,7 @@
 //! Reports of a control node about nodes and replicas, and their output.
 //!
-//! The JSON keys of the control API differ from the terms of the output for compatibility. `serde` maps them when a
-//! report is decoded; the output uses the fields' own names.
+//! The JSON keys of the control API are older than the terms of the output and are kept for compatibility. `serde`
+//! maps them when a report is decoded; the output uses the fields' own names.
 
 use std::fmt;
 
--- a/crates/linenthread-ctl/tests/duties.rs
+++ b/crates/linenthread-ctl/tests/duties.rs
@@ -76,10 +76,10 @@
     behind["decided_window"] = json!(700);
     behind["delivered_window"] = Value::Null;
     behind["undelivered"] = json!(0);
-    let mut uninformed = report("c2", None);
-    uninformed["delivered_window"] = Value::Null;
-    uninformed["undelivered"] = json!(32);
-    let reports = [behind, uninformed, report("c3", Some(7))];
+    let mut unaware_of_deliveries = report("c2", None);
+    unaware_of_deliveries["delivered_window"] = Value::Null;
+    unaware_of_deliveries["undelivered"] = json!(32);
+    let reports = [behind, unaware_of_deliveries, report("c3", Some(7))];
     let expected = "duty=accounting held_by=c3 fence=7 held_ms=90000 refused=false \
         decided_window=812 delivered_window=811 undelivered=1";
     assert_eq!(status(&reports, Vec::new()).to_string(), expected);
--- a/crates/linenthread-dataplane/src/connection.rs
+++ b/crates/linenthread-dataplane/src/connection.rs
@@ -59,7 +59,7 @@
 enum ReadProgress {
     /// At least one byte was read.
     Bytes,
-    /// The peer closed the connection in order.
+    /// The peer closed the connection gracefully.
     Closed,
 }
 
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -312,12 +312,14 @@
         self.usage.borrow_mut().take_changed()
     }
 
-    /// First step of a shutdown: the node is no longer ready, and each connection closes after its next response.
+    /// Begins the first step of a shutdown: the node is no longer ready, and each connection closes after its
+    /// next response.
     pub fn begin_drain(&self) {
         self.shutdown.begin_drain();
     }
 
-    /// Second step of a shutdown: no new connections are accepted, and connections without a request in flight close.
+    /// Begins the second step of a shutdown: no new connections are accepted, and connections without a request in
+    /// flight close.
     pub fn close(&self) {
         self.shutdown.close();
     }
--- a/crates/linenthread-dataplane/src/dispatcher.rs
+++ b/crates/linenthread-dataplane/src/dispatcher.rs
@@ -31,7 +31,7 @@
 use crate::usage_counter::UsageCounter;
 use crate::zone_indices::ZoneIndices;
 
-/// The shortest time-out of an attempt, in tenths of a millisecond (1 ms).
+/// The shortest timeout of an attempt, in tenths of a millisecond (1 ms).
 const MIN_TIMEOUT: TenthMillis = 10;
 
 /// Parameters of a query that do not follow from its route.
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -50,7 +50,7 @@
 }
 
 impl SubRequest {
-    /// Returns how far any of the attempts got at most.
+    /// Returns the furthest state that any of the attempts reached.
     fn furthest_send_state(&self) -> SendState {
         match (self.may_have_run, self.attempts) {
             (0, 0) => SendState::NotSent,
--- a/crates/linenthread-dataplane/src/lib.rs
+++ b/crates/linenthread-dataplane/src/lib.rs
@@ -8,9 +8,10 @@
 //! ```
 //!
 //! All I/O goes through the traits in [`transport`] and all time through `tokio::time`, so that the same code runs in
-//! the daemon over TCP and in the simulator over in-memory connections with a paused clock. This package knows nothing
-//! of control nodes or operators: its caller supplies configurations, replicas and quotas. `docs/dataplane-safety.md`
-//! describes how a response is matched to its request, and what keeps a non-idempotent request from running twice.
+//! the daemon over TCP and in the simulator over in-memory connections with a paused clock. This package is
+//! independent of control nodes and operators: its caller supplies configurations, replicas and quotas.
+//! `docs/dataplane-safety.md` describes how a response is matched to its request, and what keeps a non-idempotent
+//! request from running twice.
 //!
 //! Start reading at [`DataPlane`] and [`serve`]; the retry rules are in [`outcome`].
 
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -3,9 +3,9 @@
 //! Only this module decides whether an attempt may have run ([`SendState`]). Whether its sub-request may be sent again
 //! is checked twice, so that a single fault cannot make a request run twice:
 //!
-//! - by the decision module (`send_guard` in `linenthread-core`), which knows only the [`AttemptOutcome`] and asks
+//! - by the decision module (`send_guard` in `linenthread-core`), which sees only the [`AttemptOutcome`] and calls
 //!   [`AttemptOutcome::never_ran`];
-//! - by the dispatcher, which asks [`may_retry`] about the [`SendState`] before it passes an attempt to a pool.
+//! - by the dispatcher, which calls [`may_retry`] with the [`SendState`] before it passes an attempt to a pool.
 //!
 //! [`Outcome::of`] derives both from the same observation, and they agree for every observation.
 
--- a/crates/linenthread-dataplane/src/pool/leased.rs
+++ b/crates/linenthread-dataplane/src/pool/leased.rs
@@ -12,7 +12,7 @@
 use crate::outcome::ConnectionAge;
 use crate::transport::Connector;
 
-/// How long before the replica's announced idle time-out a connection is no longer used.
+/// How long before the replica's announced idle timeout a connection is no longer used.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 /// Identifies a connection within this thread; never reused.
@@ -34,7 +34,7 @@
     http: HttpConnection<C::Transport>,
     pub(super) id: ConnectionId,
     peer: SocketAddr,
-    /// When to stop using the connection, if the replica announced an idle time-out.
+    /// When to stop using the connection, if the replica announced an idle timeout.
     expires_at: Option<Instant>,
 }
 
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns the idle time-out that the replica announces in `Keep-Alive`.
+/// Returns the idle timeout that the replica announces in `Keep-Alive`.
 fn announced_idle_timeout(head: &Head) -> Option<Duration> {
     let parameters = head.header("keep-alive")?;
     let seconds = parameters
--- a/crates/linenthread-dataplane/src/server/forward.rs
+++ b/crates/linenthread-dataplane/src/server/forward.rs
@@ -59,7 +59,7 @@
     Ok(request.with_body_presence(head.response_body_presence()))
 }
 
-/// Returns the deadline of a request: the client's remaining time, at most the time-out of the route.
+/// Returns the deadline of a request: the client's remaining time, at most the timeout of the route.
 pub(super) fn deadline(head: &Head, resolved: &ResolvedRoute) -> Result<TenthMillis, HeaderError> {
     let limit_ms = resolved.route.timeout_ms;
     let remaining_ms = match head.header("x-remaining-ms") {
--- a/crates/linenthread-dataplane/src/shutdown.rs
+++ b/crates/linenthread-dataplane/src/shutdown.rs
@@ -18,12 +18,12 @@
         }
     }
 
-    /// First step: requests are still served, but each connection closes after its next response.
+    /// Begins the first step: requests are still served, but each connection closes after its next response.
     pub(crate) fn begin_drain(&self) {
         self.is_draining.set(true);
     }
 
-    /// Second step: no new connections are accepted, and connections without a request in flight close.
+    /// Begins the second step: no new connections are accepted, and connections without a request in flight close.
     pub(crate) fn close(&self) {
         self.is_closing.send_replace(true);
     }
--- a/crates/linenthread-dataplane/src/transport.rs
+++ b/crates/linenthread-dataplane/src/transport.rs
@@ -19,7 +19,7 @@
     /// The type of connection that is opened.
     type Transport: ReplicaTransport;
 
-    /// Connects to a replica. The caller applies a time-out.
+    /// Connects to a replica. The caller applies a timeout.
     ///
     /// # Errors
     /// Fails if no connection could be established.
--- a/crates/linenthread-dataplane/src/usage_counter.rs
+++ b/crates/linenthread-dataplane/src/usage_counter.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Returns a window. A new one replaces the oldest if the limit is reached; `None` if the window is older than all
-    /// that are kept.
+    /// Returns a window, and adds it if it is new. At the limit, a new window replaces the oldest one; `None` if it is
+    /// older than all that are kept.
     fn open_window(&mut self, number: WindowNumber) -> Option<&mut Window> {
         if !self.windows.contains_key(&number) && self.windows.len() == MAX_WINDOWS {
             let oldest = self.windows.first_entry()?;
--- a/crates/linenthread-dataplane/tests/keyed_ingress/mod.rs
+++ b/crates/linenthread-dataplane/tests/keyed_ingress/mod.rs
@@ -22,9 +22,9 @@
 /// One tenant with one key.
 pub(crate) const ONE_TENANT: &str =
     r#"[{"label":"milo40","credentials":["key-of-milo40"],"rank":1}]"#;
-/// The longest response head that a test reads, in bytes.
+/// Maximum length of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 4_096;
-/// The longest response body that a test reads, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 4_096;
 /// How long a client waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -15,7 +15,7 @@
 };
 use linenthread_dataplane_sim::replica::messages::{self, Message};
 
-/// The time-out of each attempt.
+/// The timeout of each attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The events that follow a request, each with its delay in milliseconds.
--- a/crates/linenthread-http/src/body.rs
+++ b/crates/linenthread-http/src/body.rs
@@ -58,7 +58,7 @@
     /// Consumes the bytes of the body from the buffer. Returns true once the body is complete.
     ///
     /// # Errors
-    /// The chunks are malformed, or the body is longer than allowed.
+    /// Fails if the chunks are malformed, or the body is longer than allowed.
     pub fn read_from(&mut self, buffer: &mut BytesMut) -> Result<bool, ParseError> {
         loop {
             let next = match self.state {
--- a/crates/linenthread-http/src/head.rs
+++ b/crates/linenthread-http/src/head.rs
@@ -88,7 +88,7 @@
     /// Consumes a request head of at most `max_bytes` bytes from the buffer. Returns `None` if the head is incomplete.
     ///
     /// # Errors
-    /// The head is malformed or too long.
+    /// Fails if the head is malformed or too long.
     pub fn parse_request(
         buffer: &mut BytesMut,
         max_bytes: usize,
@@ -114,7 +114,7 @@
     /// Skips informational heads (1xx), except 101.
     ///
     /// # Errors
-    /// The head is malformed or too long.
+    /// Fails if the head is malformed or too long.
     pub fn parse_response(
         buffer: &mut BytesMut,
         max_bytes: usize,
--- a/crates/linenthread-node/src/control/state_writer.rs
+++ b/crates/linenthread-node/src/control/state_writer.rs
@@ -25,7 +25,7 @@
 /// within the 900 ms timeout of a call.
 const SLOW_SYNC_THRESHOLD: Duration = Duration::from_millis(450);
 
-/// The size of the thread's stack, in bytes.
+/// The size of the thread's stack, in bytes. Small, since the thread needs little stack.
 const STACK_BYTES: usize = 256 << 10;
 
 /// A record, and the actions that wait until it is durable.
--- a/crates/linenthread-node/src/control_client.rs
+++ b/crates/linenthread-node/src/control_client.rs
@@ -134,7 +134,7 @@
         *self.shutdown.borrow()
     }
 
-    /// Whether a shutdown was requested and there are no usage counts that would require another session.
+    /// Reports whether a shutdown was requested and there are no usage counts that would require another session.
     fn can_stop(&self) -> bool {
         self.is_shutting_down() && !self.plane.has_usage()
     }
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -145,7 +145,7 @@
     async fn send_until_shutdown(&self, outbox: mpsc::Sender<PeerMessage>) -> SessionEnd {
         tokio::select! {
             end = self.send_heartbeats(&outbox) => return end,
-            () = self.finish_requested() => {}
+            () = self.wait_until_ready_to_shut_down() => {}
         }
         if self.client.can_stop() {
             return SessionEnd::ShutDown;
@@ -159,8 +159,8 @@
     }
 
     /// Waits until a shutdown is requested and the control node has accepted the session. Before that, it would drop
-    /// messages.
-    async fn finish_requested(&self) {
+    /// this node's messages.
+    async fn wait_until_ready_to_shut_down(&self) {
         self.client.shutdown_requested().await;
         while !self.is_accepted.get() {
             tokio::time::sleep(ACCEPTANCE_POLL_INTERVAL).await;
@@ -272,8 +272,8 @@
         if !update.control_addresses.is_empty() {
             self.set_control_nodes(&update.control_addresses);
         }
-        // A control node that has just started may not know all replicas yet, so a replica that its update omits may
-        // still run.
+        // A control node that has just started may not know all replicas yet, so a replica that its update omits has
+        // not necessarily departed.
         let scope = if update.complete && update.registry_settled {
             UpdateScope::Complete
         } else {
--- a/crates/linenthread-node/src/control_client/session_schedule.rs
+++ b/crates/linenthread-node/src/control_client/session_schedule.rs
@@ -52,7 +52,8 @@
     pub(super) fn on_session_ended(&mut self, session: &EndedSession) -> Duration {
         self.ended_at.insert(session.control_node, session.ended_at);
         let was_stable = session.ended_at > session.started_at + STABLE_SESSION;
-        // While at most half of the control nodes have had a session end, the others are tried after the minimum delay.
+        // While sessions have ended with at most half of the control nodes, the delay stays at the minimum, so that the
+        // others are tried soon.
         let has_untried = self.ended_at.len() <= session.candidates / 2;
         if was_stable || has_untried {
             self.backoff.reset();
--- a/crates/linenthread-node/src/main.rs
+++ b/crates/linenthread-node/src/main.rs
@@ -136,8 +136,8 @@
     LocalSet::new().block_on(&runtime, serve(settings, settings_path))
 }
 
-/// Returns how long the graceful shutdown of a control node may wait: at least half of the grace period, the rest of
-/// which is left for stopping and exiting.
+/// Returns how long the graceful shutdown of a control node may wait: the grace period minus
+/// [`CONTROL_SHUTDOWN_MARGIN`], but at least half of the grace period. The rest is left for stopping and exiting.
 fn control_shutdown_timeout(grace: Duration) -> Duration {
     grace.saturating_sub(CONTROL_SHUTDOWN_MARGIN).max(grace / 2)
 }
--- a/crates/linenthread-node/tests/fault_scenarios.rs
+++ b/crates/linenthread-node/tests/fault_scenarios.rs
@@ -1,5 +1,6 @@
-//! Fault scenarios on real processes, a few rounds each. The scenarios and their checks are in `linenthread-demo`;
-//! `linenthread-demo rounds` runs them for longer. The points are those of its option `--point`.
+//! The worst faults that users have met with systems of this kind, as scenarios on real processes, a few rounds each.
+//! The scenarios and their checks are in `linenthread-demo`; `linenthread-demo rounds` runs them for longer. The points
+//! are those of its option `--point`.
 
 mod scenario;
 
