--- a/crates/linenthread-dataplane/tests/revoked_keys.rs
+++ b/crates/linenthread-dataplane/tests/revoked_keys.rs
@@ -94,13 +94,13 @@
         let mut received = self.0.borrow_mut();
         // Each execution has its own seal, so a merged response contains no seal twice.
         let seal = format!("seal-{}", received.len());
-        let answer = Message {
+        let response = Message {
             request_id: values(&text, "x-attempt-id").first().copied(),
             seal: Some(&seal),
             body: b"a 16-byte record",
             ..Message::default()
         };
-        inbound.push(RESPONSE_DELAY, InboundEvent::Bytes(answer.to_bytes()));
+        inbound.push(RESPONSE_DELAY, InboundEvent::Bytes(response.to_bytes()));
         received.push(text);
     }
 }
@@ -170,12 +170,12 @@
         let registered: Vec<Replica> = BACKENDS
             .iter()
             .zip(1u8..)
-            .map(|(service, n)| {
+            .map(|(backend, n)| {
                 let address = SocketAddr::from(([10, 0, 0, n], 80));
                 network.listen(address, Rc::new(replicas.clone()));
                 Replica {
                     id: format!("i{n}"),
-                    backend: (*service).into(),
+                    backend: (*backend).into(),
                     address: address.to_string(),
                     ..Default::default()
                 }
--- a/crates/linenthread-dataplane/tests/server.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -125,12 +125,12 @@
     let registered = ["s1", "s4", "s1", "s4"]
         .iter()
         .zip(1u8..)
-        .map(|(service, n)| {
+        .map(|(backend, n)| {
             let address = SocketAddr::from(([10, 0, 0, n], 80));
             network.listen(address, replicas.clone());
             linenthread_messages::Replica {
                 id: format!("i{n}"),
-                backend: (*service).into(),
+                backend: (*backend).into(),
                 address: address.to_string(),
                 ..Default::default()
             }
--- a/crates/linenthread-node/src/control/platform_client.rs
+++ b/crates/linenthread-node/src/control/platform_client.rs
@@ -75,8 +75,8 @@
     if remaining.is_zero() {
         return None;
     }
-    let connected = timeout(CONNECT_TIMEOUT.min(remaining), TcpStream::connect(address));
-    let stream = connected.await.ok()?.ok()?;
+    let connecting = timeout(CONNECT_TIMEOUT.min(remaining), TcpStream::connect(address));
+    let stream = connecting.await.ok()?.ok()?;
     stream.set_zero_linger().ok()?;
     // If the system refuses these two options, calls only take longer.
     let _ = stream.set_nodelay(true);
--- a/crates/linenthread-node/src/control/task.rs
+++ b/crates/linenthread-node/src/control/task.rs
@@ -113,12 +113,12 @@
 
     /// Waits for commands, but not longer than until the next tick.
     async fn wait(&self, queue: &mut mpsc::Receiver<Command>, commands: &mut Vec<Command>) {
-        let received = queue.recv_many(commands, MAX_COMMANDS_PER_BATCH);
+        let receiving = queue.recv_many(commands, MAX_COMMANDS_PER_BATCH);
         if self.exit_permitted {
-            received.await;
+            receiving.await;
         } else {
             let tick_at = clock::to_std(self.control.next_tick_at(clock::now()));
-            let _ = tokio::time::timeout_at(tick_at.into(), received).await;
+            let _ = tokio::time::timeout_at(tick_at.into(), receiving).await;
         }
     }
 
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -60,11 +60,11 @@
 ) -> Result<Ingress, Error> {
     let incarnation = incarnation::generate();
     let plane = DataPlane::new(settings.clone(), incarnation, TcpConnector);
-    let clients = bind(address).await?;
+    let client_listener = bind(address).await?;
     if let Some(address) = settings.readiness_bind {
         spawn_local(accept_readiness_checks(bind(address).await?, plane.clone()));
     }
-    spawn_local(accept_clients(clients, address, plane.clone()));
+    spawn_local(accept_clients(client_listener, address, plane.clone()));
     let control_client = control_client::start(
         plane.clone(),
         Incarnation::new(incarnation),
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -11,7 +11,7 @@
 
 /// The timeout for an expected log line.
 const LOG_TIMEOUT: Duration = Duration::from_secs(20);
-const SERVICES: [&str; 3] = ["s1", "s2", "s3"];
+const BACKENDS: [&str; 3] = ["s1", "s2", "s3"];
 
 fn start_cluster(control_nodes: usize, ingress_nodes: usize) -> Cluster {
     let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_linenthread-node"))).unwrap();
@@ -23,10 +23,10 @@
             LOG_TIMEOUT
         ));
     }
-    for service in SERVICES {
-        cluster.start_replicas(service, 2).unwrap();
+    for backend in BACKENDS {
+        cluster.start_replicas(backend, 2).unwrap();
     }
-    assert_eq!(cluster.configure(0, 1, &SERVICES).unwrap().status, 200);
+    assert_eq!(cluster.configure(0, 1, &BACKENDS).unwrap().status, 200);
     for number in 1..=ingress_nodes {
         assert!(cluster.wait_for_line(
             &format!("ingress-{number}"),
@@ -47,9 +47,9 @@
     cluster
 }
 
-/// Returns the five greatest records of all services.
+/// Returns the five greatest records of all backends.
 fn expected_records(path: &str) -> Vec<u8> {
-    let all: Vec<u8> = SERVICES.iter().flat_map(|s| records(s, path)).collect();
+    let all: Vec<u8> = BACKENDS.iter().flat_map(|s| records(s, path)).collect();
     let mut records: Vec<&[u8]> = all.chunks(16).collect();
     records.sort();
     records
@@ -84,11 +84,11 @@
     assert_eq!(response.body, expected_records("/all/x?y=1"));
     let attempt = response.head.header("x-attempt-id").unwrap().to_owned();
     let seals = response.head.header("x-part-seals").unwrap();
-    let services: BTreeSet<&str> = seals
+    let backends: BTreeSet<&str> = seals
         .split(", ")
         .map(|s| s.split('.').next().unwrap())
         .collect();
-    assert_eq!(services, BTreeSet::from(SERVICES));
+    assert_eq!(backends, BTreeSet::from(BACKENDS));
     let ran = |r: &linenthread_demo::Replica| {
         r.received()
             .iter()
@@ -121,7 +121,7 @@
     let mut cluster = start_cluster(3, 1);
     cluster.kill("control-1");
     cluster.erase_disk("control-1").unwrap();
-    assert_eq!(cluster.configure(1, 4, &SERVICES).unwrap().status, 200);
+    assert_eq!(cluster.configure(1, 4, &BACKENDS).unwrap().status, 200);
     cluster.forget_lines("control-2");
     cluster.start_process("control-1").unwrap();
     assert!(cluster.wait_for_line(
@@ -137,7 +137,7 @@
     ));
     // The new node and control-3 are a majority, so control-2 may be lost now.
     cluster.kill("control-2");
-    assert_eq!(cluster.configure(4, 9, &SERVICES).unwrap().status, 200);
+    assert_eq!(cluster.configure(4, 9, &BACKENDS).unwrap().status, 200);
     assert!(cluster.wait_for_line(
         "ingress-1",
         &["event=configuration_applied", "revision=9"],
@@ -171,7 +171,7 @@
     });
     let read: serde_json::Value = serde_json::from_slice(&read.expect("a response").body).unwrap();
     assert_eq!(read["revision"], 1);
-    assert_eq!(cluster.configure(0, 5, &SERVICES).unwrap().status, 412);
+    assert_eq!(cluster.configure(0, 5, &BACKENDS).unwrap().status, 412);
 }
 
 #[test]
