--- a/crates/linenthread-checker/src/lease/action.rs
+++ b/crates/linenthread-checker/src/lease/action.rs
@@ -9,10 +9,10 @@
     Deliver(usize),
     /// Advances all clocks by the same amount.
     AdvanceTime,
-    /// A node requests or renews the lease.
+    /// Requests the lease, or its renewal, for a node.
     Request(NodeIndex),
-    /// A node restarts.
+    /// Restarts a node.
     Crash(NodeIndex),
-    /// A node releases the lease.
+    /// Releases the lease of a node.
     Release(NodeIndex),
 }
--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -18,7 +18,7 @@
 /// Time by which a tick advances the clock of a node; longer than every time-out.
 const TICK: Duration = Duration::from_secs(2);
 
-/// Deadline of jobs. They have none, because reaching it would only leave their outcome unknown.
+/// Deadline of all jobs: none, because reaching one would only leave the outcome of a job unknown.
 const DEADLINE: Instant = Instant::NEVER;
 
 /// Epoch of the leader lease under which the voters are changed.
--- a/crates/linenthread-checker/tests/scenarios.rs
+++ b/crates/linenthread-checker/tests/scenarios.rs
@@ -9,7 +9,7 @@
 
 fn scenario(calls: &str) -> Scenario {
     Scenario {
-        calls: Scenario::parse_calls(calls).expect("calls"),
+        calls: Scenario::parse_calls(calls).expect("the calls are valid"),
         ..Scenario::default()
     }
 }
@@ -94,7 +94,7 @@
 #[test]
 fn calls_are_formatted_as_they_are_parsed() {
     let list = "1:a,2:b,1:c,2:replace,3:read";
-    let calls = Scenario::parse_calls(list).expect("calls");
+    let calls = Scenario::parse_calls(list).expect("the calls are valid");
     let written: Vec<String> = calls.iter().map(ScheduledCall::to_string).collect();
     assert_eq!(written.join(","), list);
 }
--- a/crates/linenthread-dataplane-sim/src/deployment.rs
+++ b/crates/linenthread-dataplane-sim/src/deployment.rs
@@ -31,8 +31,8 @@
     DataPlane::new(Rc::new(settings()), seed, network)
 }
 
-/// Creates the data plane of an ingress node with a configuration and a quota of `retries_per_window`, and restarts the
-/// clock of the data plane.
+/// Creates the data plane of an ingress node with a configuration without tenants and a quota of `retries_per_window`
+/// retries in each window, and restarts the clock of the data plane.
 pub fn data_plane(seed: u64, network: Network, retries_per_window: f64) -> Rc<DataPlane<Network>> {
     let plane = data_plane_without_configuration(seed, network);
     plane.apply_configuration(configuration(1, None).as_bytes());
--- a/crates/linenthread-demo/src/scenarios/lost_quorum.rs
+++ b/crates/linenthread-demo/src/scenarios/lost_quorum.rs
@@ -1,5 +1,6 @@
 //! Point 1: two of three control nodes are paused. The third has no quorum: it must neither confirm nor finally reject
-//! any call, and respond so within a bound. Queries are served with the last configuration.
+//! any call, and if it responds, it must do so within a bound. Ingress nodes must continue to serve queries with the
+//! last configuration.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -113,7 +114,7 @@
     check_keys(findings, cluster, order);
 }
 
-/// Adds notes with the response and the members of each control node, after an order had no success.
+/// Sends an order that was not acknowledged to each control node, and adds notes with the responses and the members.
 fn add_node_states(findings: &mut Findings, cluster: &Cluster, order: &Order) {
     for peer in cluster.control_addresses() {
         let outcome = replace_at(peer, order, RECOVERY_TIMEOUT);
@@ -130,7 +131,7 @@
     outcome: CallOutcome,
 }
 
-/// Sends calls of all kinds at the same time, and checks that none gets a final response and none a late one.
+/// Sends calls of all kinds at the same time, and checks that none gets a final response or a late one.
 fn check_unavailable(findings: &mut Findings, peer: SocketAddr, first: &Order, second: &Order) {
     for NamedOutcome { call, outcome } in call_all(peer, first, second) {
         findings.check(
--- a/crates/linenthread-demo/src/scenarios/mod.rs
+++ b/crates/linenthread-demo/src/scenarios/mod.rs
@@ -1,7 +1,7 @@
 //! Fault scenarios: each starts its own cluster, injects one kind of fault at random moments, and checks what callers
 //! see.
 //!
-//! Scenarios are grouped by points. Points 1 to 5 are the failures that users listed from systems of this kind; point 6
+//! Scenarios are grouped by points. Points 1 to 5 are failures that users reported from systems of this kind; point 6
 //! is about the keys of tenants, which also change in the scenarios of points 1 to 4; point 7 is about the reports of
 //! their usage. The module of each scenario documents its fault and what must hold; a [`Violation`] contains the
 //! invariant as the check states it.
--- a/crates/linenthread-fakes/src/client.rs
+++ b/crates/linenthread-fakes/src/client.rs
@@ -74,7 +74,7 @@
     /// If nothing accepts the connection.
     pub fn connect(address: SocketAddr) -> Client {
         let connection = TcpStream::connect(address)
-            .unwrap_or_else(|error| panic!("{address} accepts connections: {error}"));
+            .unwrap_or_else(|error| panic!("cannot connect to {address}: {error}"));
         connection
             .set_read_timeout(Some(PATIENCE))
             .expect("the time-out is not zero");
--- a/crates/linenthread-fakes/src/files.rs
+++ b/crates/linenthread-fakes/src/files.rs
@@ -12,5 +12,5 @@
 /// Writes a file, replacing an existing one.
 pub(crate) fn write_file(path: &Path, contents: &str) {
     std::fs::write(path, contents)
-        .unwrap_or_else(|error| panic!("{} can be written: {error}", path.display()));
+        .unwrap_or_else(|error| panic!("cannot write {}: {error}", path.display()));
 }
--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -140,7 +140,7 @@
     };
     program
         .output()
-        .unwrap_or_else(|error| panic!("{exe} can be run: {error}"))
+        .unwrap_or_else(|error| panic!("cannot run {exe}: {error}"))
 }
 
 /// A process of the program under test, killed when dropped.
@@ -199,7 +199,7 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .unwrap_or_else(|error| panic!("{exe} can be started: {error}"));
+            .unwrap_or_else(|error| panic!("cannot start {exe}: {error}"));
         let (line_sender, lines) = channel();
         let stderr = child.stderr.take().expect("the log is piped");
         let log = BufReader::new(stderr);
--- a/crates/linenthread-fakes/src/rig/check.rs
+++ b/crates/linenthread-fakes/src/rig/check.rs
@@ -52,7 +52,7 @@
     violations
 }
 
-/// Rule 1: a process that stays up sends one final response in time.
+/// Checks rule 1: a process that stays up sends one final response in time.
 fn check_response(outcome: &QueryOutcome, violations: &mut Vec<String>) {
     let QueryOutcome { id, latency, .. } = outcome;
     if outcome.process_stayed_up && outcome.status.is_none() {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Rule 2: a non-idempotent query is executed at most once on each shard, and not at all if it is rejected.
+/// Checks rule 2: a non-idempotent query is executed at most once on each shard, and not at all if it is rejected.
 fn check_idempotency(
     outcome: &QueryOutcome,
     counts: &ExecutionCounts,
@@ -91,8 +91,8 @@
     }
 }
 
-/// Rule 5: a response is reported as complete only if it has values of all shards, and it has values only of shards on
-/// which the query was executed.
+/// Checks rule 5: a response is reported as complete only if it has values of all shards, and it has values only of
+/// shards on which the query was executed.
 fn check_completeness(
     outcome: &QueryOutcome,
     counts: &ExecutionCounts,
--- a/crates/linenthread-fakes/src/rig/process.rs
+++ b/crates/linenthread-fakes/src/rig/process.rs
@@ -68,7 +68,7 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .unwrap_or_else(|error| panic!("{exe} can be started: {error}"));
+            .unwrap_or_else(|error| panic!("cannot start {exe}: {error}"));
         self.log
             .collect(child.stderr.take().expect("the log is piped"));
         self.child = Some(child);
@@ -81,7 +81,7 @@
             .args(arguments)
             .current_dir(self.folder.path())
             .output()
-            .unwrap_or_else(|error| panic!("{exe} can be run: {error}"))
+            .unwrap_or_else(|error| panic!("cannot run {exe}: {error}"))
     }
 
     /// Returns the path of a file in the process's folder.
--- a/crates/linenthread-fakes/src/scenarios/operator.rs
+++ b/crates/linenthread-fakes/src/scenarios/operator.rs
@@ -9,7 +9,8 @@
 /// The route from the first zone to the drained one.
 const TO_MESSINA: ZonePair = ZonePair { from: 0, to: 2 };
 
-/// An operator drains a zone and returns it to service. Commands that cannot be executed are rejected with a reason.
+/// Drains a zone and returns it to service by commands of an operator. Commands that cannot be executed must be
+/// rejected with a reason.
 pub(super) fn operator_commands(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let from = rig.log_position(0);
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -14,7 +14,7 @@
 /// The file size limit in bytes that simulates a full disk.
 const FULL_DISK_BYTES: u64 = 64;
 
-/// The leader is killed. Another voter takes over with the same table and record, and all queries succeed again.
+/// Kills the leader. Another voter must take over with the same table and record, and all queries must succeed again.
 pub(super) fn leader_killed(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     let leader = rig.leader();
@@ -30,8 +30,8 @@
     rig
 }
 
-/// The leader is stopped for longer than any lease and then continued. It is no longer the leader, and nothing is
-/// decided twice.
+/// Stops the leader for longer than any lease and then continues it. It must no longer be the leader, and nothing may
+/// be decided twice.
 pub(super) fn leader_stopped(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let leader = rig.leader();
@@ -51,7 +51,7 @@
     rig
 }
 
-/// A voter loses its disk. It restarts as a new incarnation, and its vote counts.
+/// Deletes the disk of a voter. The voter must restart as a new incarnation, and its vote must count.
 pub(super) fn disk_lost(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     let lost = zone_by_seed(seed);
@@ -75,8 +75,8 @@
     rig
 }
 
-/// The disk of the leader is full. It steps down and logs that, continues to serve queries and to follow routing
-/// tables, and votes again once there is space on the disk.
+/// Fills the disk of the leader. It must step down and log that, continue to serve queries and to follow routing
+/// tables, and vote again once there is space on the disk.
 pub(super) fn disk_full(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let old_leader = rig.leader();
@@ -95,7 +95,7 @@
     rig
 }
 
-/// All processes are restarted, one after the other.
+/// Restarts all processes, one after the other.
 pub(super) fn rolling_restart(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     for process in rig.all() {
--- a/crates/linenthread-fakes/src/scenarios/zones.rs
+++ b/crates/linenthread-fakes/src/scenarios/zones.rs
@@ -8,10 +8,10 @@
 use super::{ALL_ZONES, ZONES};
 use crate::rig::{Rig, RigConfig, Route, TABLE_IN_USE, ZonePair};
 
-/// Without faults, sub-requests stay in the client's zone if it holds their shard. There are two coordinators in each
-/// zone. Sub-requests that avoid a replica because of its score may leave the zone: calls on loopback take about a
-/// millisecond, so other load on the machine affects the scores. Up to an eighth of the sub-requests left for this
-/// reason, and a third or more without a preference for the local zone.
+/// Injects no faults, with two coordinators in each zone. Sub-requests must stay in the client's zone if it holds their
+/// shard, except those that avoid a replica because of its score: calls on loopback take about a millisecond, so other
+/// load on the machine affects the scores. Up to an eighth of the sub-requests left their zone for this reason, and a
+/// third or more left it without a preference for the local zone.
 pub(super) fn stay_in_zone(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(
         exe,
@@ -31,7 +31,8 @@
     rig
 }
 
-/// A zone fails with all its nodes, is drained by the coordinators of all other zones, and recovers.
+/// Stops all nodes of a zone and starts them again. The coordinators of all other zones must drain the zone, and use it
+/// again afterwards.
 pub(super) fn zone_lost(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
     let lost = zone_by_seed(seed);
@@ -70,7 +71,7 @@
     rig
 }
 
-/// Two zones are partitioned, including their coordinators. Only the traffic between them is rerouted.
+/// Partitions two zones, including their coordinators. Only the traffic between them may be rerouted.
 pub(super) fn zones_partitioned(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
     let (a, b) = (zone_by_seed(seed), zone_by_seed(seed + 1));
@@ -97,7 +98,7 @@
     rig
 }
 
-/// A coordinator is partitioned from all other coordinators, but not from replicas. It moves no traffic, and continues
+/// Partitions a coordinator from all other coordinators, but not from replicas. It must move no traffic, and continue
 /// to serve its clients.
 pub(super) fn coordinator_isolated(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
@@ -114,7 +115,7 @@
     rig
 }
 
-/// The network delays all connections and drops datagrams for a time. No zone is drained because of that, and there is
+/// Delays all connections and drops datagrams for a time. No zone may be drained because of that, and there must be
 /// only one leader.
 pub(super) fn slow_and_lossy(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
