--- a/crates/linenthread-dataplane-sim/src/replica/connection.rs
+++ b/crates/linenthread-dataplane-sim/src/replica/connection.rs
@@ -114,7 +114,8 @@
         })
     }
 
-    /// Handles a request with a randomly drawn fault.
+    /// Handles a request: rejects it if it is addressed to another replica and the target check is enforced, and
+    /// otherwise responds with a randomly drawn fault.
     fn serve(&mut self, request: &Request, inbound: &mut Inbound) {
         let replica = self.replica.clone();
         let random = &replica.random;
--- a/crates/linenthread-dataplane-sim/src/replica_set.rs
+++ b/crates/linenthread-dataplane-sim/src/replica_set.rs
@@ -76,7 +76,7 @@
     }
 
     /// Freezes replicas and replaces them by others at their addresses, at random times. Replacements are published to
-    /// the data plane with a delay.
+    /// the data plane with a delay. Does nothing in simulations without connection faults.
     pub(crate) async fn run_faults(mut self, plane: Rc<DataPlane<Network>>) {
         let random = self.environment.random.clone();
         if self.environment.faults.connections == 0 {
--- a/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
+++ b/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
@@ -140,7 +140,7 @@
     );
 }
 
-/// Checks the newest conflict at one node, whose responses must be final within the bound.
+/// Checks at one node that the newest conflict has the expected outcome, with final responses within the bound.
 fn check_newest(findings: &mut Findings, peer: SocketAddr, newest: &Conflict) {
     let outcome = replace_at_any(&[peer], &newest.committed, RECOVERY_TIMEOUT);
     findings.check(
--- a/crates/linenthread-fakes/src/rig/process_control.rs
+++ b/crates/linenthread-fakes/src/rig/process_control.rs
@@ -48,11 +48,11 @@
         self.processes[process].id()
     }
 
-    /// Kills a process. With `with_record`, also deletes its record folder, as if it had lost its disk.
-    pub fn kill(&mut self, process: usize, with_record: bool) {
+    /// Kills a process. With `delete_record`, also deletes its record folder, as if it had lost its disk.
+    pub fn kill(&mut self, process: usize, delete_record: bool) {
         self.set_queried(process, false);
         self.processes[process].kill();
-        if with_record {
+        if delete_record {
             std::fs::remove_dir_all(self.file(process, "record")).ok();
         }
     }
--- a/crates/linenthread-fakes/src/scenarios/random_faults.rs
+++ b/crates/linenthread-fakes/src/scenarios/random_faults.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill,
-    KillWithRecord,
+    KillAndDeleteRecord,
     Stop,
     LoseZone,
     PartitionZones,
@@ -33,7 +33,7 @@
     /// All kinds of faults, by number.
     const ALL: [Fault; 8] = [
         Fault::Kill,
-        Fault::KillWithRecord,
+        Fault::KillAndDeleteRecord,
         Fault::Stop,
         Fault::LoseZone,
         Fault::PartitionZones,
@@ -46,7 +46,7 @@
     fn inject(self, rig: &mut Rig, rng: &mut Rand64, process: usize, zone: usize) {
         match self {
             Fault::Kill => kill_and_restart(rig, rng, process, false),
-            Fault::KillWithRecord => kill_and_restart(rig, rng, process, true),
+            Fault::KillAndDeleteRecord => kill_and_restart(rig, rng, process, true),
             Fault::Stop => {
                 stop(rig, process);
                 sleep(random_duration(rng, 1_000..10_000));
@@ -81,8 +81,8 @@
     }
 }
 
-fn kill_and_restart(rig: &mut Rig, rng: &mut Rand64, process: usize, with_record: bool) {
-    rig.kill(process, with_record);
+fn kill_and_restart(rig: &mut Rig, rng: &mut Rand64, process: usize, delete_record: bool) {
+    rig.kill(process, delete_record);
     sleep(random_duration(rng, 50..3_000));
     rig.start(process);
 }
