--- a/crates/linenthread-fleet/src/error.rs
+++ b/crates/linenthread-fleet/src/error.rs
@@ -6,7 +6,7 @@
 
 use crate::identifiers::{LogIndex, Term};
 
-/// Why a configuration is invalid.
+/// The reason why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigError {
@@ -27,8 +27,8 @@
     },
 }
 
-/// Why bytes are not a valid frame, record of a voter's disk, or datagram. For a frame, the text is sent to the peer
-/// that sent it: the texts are part of the wire format.
+/// The reason why bytes are not a valid frame, record of a voter's disk, or datagram. For a frame, the text is sent to
+/// the peer that sent it: the texts are part of the wire format.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RecordError {
@@ -109,7 +109,7 @@
     TooManyNames,
 }
 
-/// Why a voter's disk cannot be used.
+/// The reason why a voter's disk cannot be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
@@ -141,8 +141,8 @@
     },
 }
 
-/// Why a process cannot join, or its voter cannot be opened. A voter must not participate in Raft after it lost part of
-/// the state that its earlier messages relied on.
+/// The reason why a process cannot join, or its voter cannot be opened. A voter must not participate in Raft after it
+/// lost part of the state that its earlier messages relied on.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OpenError {
@@ -168,7 +168,7 @@
     },
 }
 
-/// Why a value cannot be proposed.
+/// The reason why a value cannot be proposed.
 #[derive(Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ProposeError {
@@ -189,7 +189,7 @@
     },
 }
 
-/// Why a datagram was not accepted.
+/// The reason why a datagram was not accepted.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DatagramError {
@@ -207,8 +207,8 @@
     },
 }
 
-/// Why a peer's Raft message is not passed to the raft library, which would panic on it. No correct voter sends such a
-/// message.
+/// The reason why a peer's Raft message is not passed to the raft library, which would panic on it. No correct voter
+/// sends such a message.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum MessageError {
@@ -240,7 +240,7 @@
     LocalMessage,
 }
 
-/// Why Raft cannot start from a voter's stored state.
+/// The reason why Raft cannot start from a voter's stored state.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StartError {
--- a/crates/linenthread-fleet/src/event.rs
+++ b/crates/linenthread-fleet/src/event.rs
@@ -67,7 +67,7 @@
     pub kind: VoterChangeKind,
 }
 
-/// Whether a voter is added or removed.
+/// The kind of a change of the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterChangeKind {
     /// The voter is added.
--- a/crates/linenthread-fleet/src/fleet/action.rs
+++ b/crates/linenthread-fleet/src/fleet/action.rs
@@ -7,7 +7,7 @@
 use crate::node_identity::NodeIdentity;
 use crate::state_table::CommittedValue;
 
-/// What the caller has to do or is notified of, in order.
+/// An action for the caller, or a notification; they must be handled in order.
 #[derive(Debug)]
 pub enum FleetAction {
     /// Open a connection.
--- a/crates/linenthread-fleet/src/fleet/connection.rs
+++ b/crates/linenthread-fleet/src/fleet/connection.rs
@@ -49,7 +49,7 @@
     pub(super) result: Result<(), RecordError>,
 }
 
-/// What has to be done on a connection when a timer has expired.
+/// The action that is due on a connection when a timer has expired.
 pub(super) enum Timer {
     Ping,
     /// Close the connection, which has timed out for this reason.
--- a/crates/linenthread-fleet/src/members/codec.rs
+++ b/crates/linenthread-fleet/src/members/codec.rs
@@ -35,7 +35,7 @@
     pub(super) const DOWN: u8 = 3;
 }
 
-/// Why gossip cannot be encoded or decoded.
+/// The reason why gossip cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub(crate) enum CodecError {
     #[snafu(transparent)]
--- a/crates/linenthread-fleet/src/members/mod.rs
+++ b/crates/linenthread-fleet/src/members/mod.rs
@@ -30,7 +30,7 @@
 /// The first announcement follows at a random time no later than this after the start.
 const MAX_JOIN_DELAY: TenthMillis = 500;
 
-/// What the caller has to do or is notified of, in order.
+/// An action for the caller, or a notification; they must be handled in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembersAction {
     /// Send a datagram.
--- a/crates/linenthread-fleet/src/voter/action.rs
+++ b/crates/linenthread-fleet/src/voter/action.rs
@@ -4,7 +4,7 @@
 use crate::frame::Frame;
 use crate::state_table::CommittedValue;
 
-/// What the caller has to do or is notified of, in order.
+/// An action for the caller, or a notification; they must be handled in order.
 #[derive(Debug)]
 pub enum VoterAction {
     /// Send a frame to another voter.
--- a/crates/linenthread-fleet/src/voter/inputs.rs
+++ b/crates/linenthread-fleet/src/voter/inputs.rs
@@ -106,7 +106,7 @@
         message: Message,
         actions: &mut Vec<VoterAction>,
     ) {
-        self.remember_name(message.from, peer);
+        self.record_name(message.from, peer);
         if let Err(cause) = self.step(now, message) {
             let peer = peer.to_owned();
             actions.push(VoterAction::Log(FleetEvent::MessageRejected {
@@ -116,7 +116,7 @@
         }
     }
 
-    fn remember_name(&mut self, id: RaftId, name: &str) {
+    fn record_name(&mut self, id: RaftId, name: &str) {
         self.voter_names.insert(id, name.to_owned());
         while self.voter_names.len() > MAX_VOTER_NAMES {
             self.voter_names.pop_first();
--- a/crates/linenthread-installation/src/lib.rs
+++ b/crates/linenthread-installation/src/lib.rs
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first error found, with its line.
+    /// Fails at the first error found, and returns it with its line.
     pub fn read(
         text: &str,
         known: &dyn Fn(&str) -> Option<KnownIndex>,
--- a/crates/linenthread-installation/src/schema/validate.rs
+++ b/crates/linenthread-installation/src/schema/validate.rs
@@ -9,7 +9,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first violation.
+    /// Fails at the first violation.
     pub(crate) fn validate(&self, root: &Element) -> Result<(), InstallationError> {
         if root.name != self.root.name {
             let cause = format!(
--- a/crates/linenthread-link/src/client/availability.rs
+++ b/crates/linenthread-link/src/client/availability.rs
@@ -4,8 +4,8 @@
 
 use super::{ClientAction, LinkAvailability, LinkClient};
 
-/// Whether the link accepts calls. Only changes between up and down are reported to the driver, by
-/// [`ClientAction::Availability`].
+/// The state of the link, which determines whether it accepts calls. Only changes between up and down are reported to
+/// the driver, by [`ClientAction::Availability`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Availability {
     /// The connection is established, and the server accepts calls.
--- a/crates/linenthread-link/src/client/backoff.rs
+++ b/crates/linenthread-link/src/client/backoff.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Counts a failure and returns the delay before the next attempt: half the backoff plus a random part up to the
-    /// whole of it, so that clients don't reconnect at the same time.
+    /// Counts a failure and returns the delay before the next attempt: a random time between 0.5 and 1.5 times the
+    /// backoff, so that clients don't reconnect at the same time.
     pub(super) fn next(&mut self, rng: &mut Rand64) -> TenthMillis {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures += 1;
--- a/crates/linenthread-link/src/client/call_table.rs
+++ b/crates/linenthread-link/src/client/call_table.rs
@@ -27,7 +27,7 @@
     id: CallId,
 }
 
-/// Whether the frame of a sent call has been written.
+/// The progress in writing the frame of a sent call.
 #[derive(Clone, Copy, PartialEq)]
 enum Delivery {
     /// Not written completely: the call cannot run.
@@ -42,7 +42,7 @@
     delivery: Delivery,
 }
 
-/// Where a pending call is stored.
+/// The place where a pending call is stored.
 #[derive(Clone, Copy)]
 enum Position {
     Queued(QueueKey),
--- a/crates/linenthread-link/src/client/config.rs
+++ b/crates/linenthread-link/src/client/config.rs
@@ -65,7 +65,7 @@
     Availability(LinkAvailability),
 }
 
-/// Whether a link accepts calls, as reported to its driver.
+/// The availability of a link for calls, as reported to its driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkAvailability {
     /// Calls are accepted. After a short interruption they are queued until the connection is re-established.
--- a/crates/linenthread-link/src/client/heartbeat.rs
+++ b/crates/linenthread-link/src/client/heartbeat.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Handles the answer to a ping.
+    /// Handles the reply to a ping.
     pub(super) fn on_pong(&mut self, now: TenthMillis, sequence: u64) {
         if let Some(sent_at) = self.pending_pings.remove(&sequence) {
             self.add_round_trip(now - sent_at);
--- a/crates/linenthread-link/src/client/replicas.rs
+++ b/crates/linenthread-link/src/client/replicas.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Builds the completion of a health check without an answer.
+/// Builds the completion of a health check that has no outcome from the server.
 fn failed(id: ProbeId, outcome: AttemptOutcome) -> ClientAction {
     ClientAction::ProbeCompleted {
         id,
--- a/crates/linenthread-link/src/frame/call.rs
+++ b/crates/linenthread-link/src/frame/call.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// How a call ended at the server.
+/// The outcome of a call at the server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallOutcome {
     /// The call's number in its session.
@@ -100,7 +100,7 @@
     }
 }
 
-/// How a health check ended at the server.
+/// The outcome of a health check at the server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeOutcome {
     /// The probe's id.
--- a/crates/linenthread-link/src/frame/mod.rs
+++ b/crates/linenthread-link/src/frame/mod.rs
@@ -101,7 +101,7 @@
     Goodbye,
 }
 
-/// How much a client may send in a session, counted from the session's start.
+/// The limits of what a client may send in a session, counted from the session's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Credit {
     /// The last call that may be sent.
--- a/crates/linenthread-link/src/server/session.rs
+++ b/crates/linenthread-link/src/server/session.rs
@@ -22,7 +22,7 @@
     bytes: u64,
 }
 
-/// Whether a session has a connection.
+/// The connection state of a session.
 #[derive(Clone, Copy)]
 enum Attachment {
     Connected(ConnectionId),
--- a/crates/linenthread-merge/src/error.rs
+++ b/crates/linenthread-merge/src/error.rs
@@ -99,13 +99,13 @@
     /// The value is not JSON of the form that the plan expects.
     #[snafu(display("{reason}"))]
     Malformed {
-        /// What the decoder says.
+        /// The decoder's error.
         reason: String,
     },
     /// A row is not JSON of the form that the plan expects.
     #[snafu(display("a row is malformed: {reason}"))]
     MalformedRow {
-        /// What the decoder says.
+        /// The decoder's error.
         reason: String,
     },
     /// A number is not a valid decimal of its scale.
--- a/crates/linenthread-merge/src/page.rs
+++ b/crates/linenthread-merge/src/page.rs
@@ -32,7 +32,7 @@
     AfterPage,
 }
 
-/// How far a shard has been read.
+/// The progress in reading a shard.
 struct ShardProgress {
     /// The position after which this query begins to read; `None` for the first row.
     start: Option<SortKey>,
@@ -52,7 +52,7 @@
 /// The rows of one value, checked to be sorted.
 pub(crate) struct Batch {
     pub(crate) rows: Vec<Row>,
-    /// The shard says that rows follow these.
+    /// Whether the shard has more rows after these, as it reports.
     pub(crate) has_more: bool,
     /// Rows were skipped because they rank after a full page or exceed its limit.
     pub(crate) trimmed: bool,
--- a/crates/linenthread-merge/src/plan.rs
+++ b/crates/linenthread-merge/src/plan.rs
@@ -50,7 +50,7 @@
     pub max_retained: usize,
 }
 
-/// How the values of a field are sorted.
+/// The sort order of a field's values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldType {
     /// Bytewise, as text.
@@ -99,7 +99,7 @@
     Rows(RowPlan),
 }
 
-/// How the responses of one index are merged.
+/// The merge plan of one index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The index's name.
--- a/crates/linenthread-service/src/coordinator_driver/membership.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership.rs
@@ -161,7 +161,7 @@
         self.local.insert(listed.id.clone(), member);
     }
 
-    /// The number of a zone. All zones that the settings do not name share one number.
+    /// Returns the number of a zone. All zones that the settings do not name share one number.
     fn zone(&self, name: &str) -> usize {
         let known = self.zone_names.iter().position(|zone| *zone == name);
         known.unwrap_or(self.zone_names.len())
@@ -214,7 +214,7 @@
         entries
     }
 
-    /// The replicas behind links that are up, except those that the service discovery lists.
+    /// Returns the replicas behind links that are up, except those that the service discovery lists.
     fn reachable_remote(&self) -> BTreeMap<String, RemoteReplica> {
         let reachable_peers = || {
             self.peers
--- a/crates/linenthread-service/src/coordinator_driver/peer_members.rs
+++ b/crates/linenthread-service/src/coordinator_driver/peer_members.rs
@@ -14,7 +14,7 @@
 }
 
 impl PeerMembers {
-    /// The link counts as down until it reports otherwise.
+    /// Creates an empty list for a link that counts as down until it reports otherwise.
     pub(super) fn new() -> Self {
         PeerMembers {
             link: LinkAvailability::Down,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether the link accepts calls.
+    /// Reports whether the link accepts calls.
     pub(super) fn is_reachable(&self) -> bool {
         self.link == LinkAvailability::Up
     }
--- a/crates/linenthread-service/src/coordinator_driver/query_table.rs
+++ b/crates/linenthread-service/src/coordinator_driver/query_table.rs
@@ -12,7 +12,7 @@
     submitted_before: u64,
 }
 
-/// How many queries are over, in the order of submission.
+/// The numbers of submitted and of completed queries.
 #[derive(Clone, Copy)]
 pub(super) struct QueryProgress {
     /// Number of queries submitted so far.
--- a/crates/linenthread-service/src/frontends/http/connection.rs
+++ b/crates/linenthread-service/src/frontends/http/connection.rs
@@ -105,12 +105,12 @@
         self.discards_input.get()
     }
 
-    /// Returns whether a request was read completely and is not answered yet.
+    /// Reports whether a request was read completely and is not answered yet.
     pub(super) fn awaits_response(&self) -> bool {
         self.state.get() == ConnectionState::AwaitingResponse
     }
 
-    /// Returns whether nothing more is to be read: the connection is evicted, or it is closing and idle.
+    /// Reports whether nothing more is to be read: the connection is evicted, or it is closing and idle.
     pub(super) fn must_close(&self) -> bool {
         self.is_evicted.get() || (self.is_closing.get() && self.is_idle())
     }
@@ -140,7 +140,7 @@
         self.since.get()
     }
 
-    /// Whether no request has begun, or only one whose head is overdue.
+    /// Reports whether no request has begun, or only one whose head is overdue.
     fn is_idle(&self) -> bool {
         match self.state.get() {
             ConnectionState::Idle => true,
@@ -149,19 +149,19 @@
         }
     }
 
-    /// Returns whether the connection has had a response, no further request has begun, and it is not closing yet.
+    /// Reports whether the connection has had a response, no further request has begun, and it is not closing yet.
     pub(super) fn is_idle_after_response(&self) -> bool {
         self.has_had_response.get()
             && self.state.get() == ConnectionState::Idle
             && !self.is_closing.get()
     }
 
-    /// Returns whether the client connected so recently that its first request may still be in transit.
+    /// Reports whether the client connected so recently that its first request may still be in transit.
     pub(super) fn is_new(&self) -> bool {
         !self.has_had_response.get() && self.since.get().elapsed() <= SLOW_REQUEST_THRESHOLD
     }
 
-    /// Returns whether the connection may be evicted in favour of a new one: it is idle, or its request takes longer
+    /// Reports whether the connection may be evicted in favour of a new one: it is idle, or its request takes longer
     /// than [`SLOW_REQUEST_THRESHOLD`] to arrive.
     pub(super) fn may_be_evicted(&self) -> bool {
         let may_be_evicted = match self.state.get() {
@@ -174,7 +174,7 @@
         may_be_evicted && !self.is_evicted.get()
     }
 
-    /// Returns whether the idle time-out has passed, or the time in which a request's head must arrive.
+    /// Reports whether the idle time-out has passed, or the time in which a request's head must arrive.
     pub(super) fn has_timed_out(&self, is_over_half_full: bool) -> bool {
         let idle_timeout = if is_over_half_full || !self.has_had_response.get() {
             SHORT_IDLE_TIMEOUT
--- a/crates/linenthread-service/src/frontends/http/request.rs
+++ b/crates/linenthread-service/src/frontends/http/request.rs
@@ -15,7 +15,7 @@
 use crate::coordinator_driver::{QuerySubmission, SubRequestSubmission};
 use crate::query::{QueryContext, QueryRequest};
 
-/// Why a request is rejected. The text is sent to the client.
+/// The reason why a request is rejected. The text is sent to the client.
 #[derive(Debug, Snafu)]
 pub(super) enum RequestError {
     #[snafu(display("the body was not complete in time"))]
--- a/crates/linenthread-service/src/frontends/link/connection.rs
+++ b/crates/linenthread-service/src/frontends/link/connection.rs
@@ -30,7 +30,7 @@
 /// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Why a connection ended. The text is logged.
+/// The reason why a connection ended. The text is logged.
 #[derive(Debug, Snafu)]
 enum ConnectionEnd {
     #[snafu(display("closed by the peer"))]
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -155,7 +155,7 @@
     pub old: PathBuf,
 }
 
-/// Whether all settings could be converted.
+/// The completeness of a conversion.
 enum Completeness {
     Complete,
     /// Some settings were omitted; the printed list names them.
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -194,7 +194,8 @@
     }
 }
 
-/// If the settings let the coordinator watch the membership list, the coordinator requests the first list itself.
+/// Returns when the first membership list is fetched: if the settings let the coordinator watch the list, the
+/// coordinator requests the first one itself.
 fn first_fetch(config: &Config) -> FirstFetch {
     if config.coordinator.watch_membership {
         FirstFetch::OnRequest
--- a/crates/linenthread-service/src/transports/connection/error.rs
+++ b/crates/linenthread-service/src/transports/connection/error.rs
@@ -5,7 +5,7 @@
 use linenthread_protocol::frame;
 use snafu::Snafu;
 
-/// Why a connection failed. The text is logged.
+/// The reason why a connection failed. The text is logged.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub(in crate::transports) enum ConnectionError {
@@ -33,7 +33,7 @@
     UnknownResponse,
 }
 
-/// How a connection has ended, which determines the outcomes of what was in flight on it.
+/// The way in which a connection has ended, which determines the outcomes of what was in flight on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::transports) enum ConnectionEnd {
     /// The connection was closed or lost, or never established.
@@ -43,7 +43,7 @@
 }
 
 impl ConnectionError {
-    /// Returns whether the error is a violation of the protocol by the replica, or the loss of the connection.
+    /// Reports whether the error is a violation of the protocol by the replica, or the loss of the connection.
     pub(in crate::transports) fn end(&self) -> ConnectionEnd {
         match self {
             ConnectionError::Connect { .. }
--- a/crates/linenthread-service/src/transports/connection/exchange.rs
+++ b/crates/linenthread-service/src/transports/connection/exchange.rs
@@ -21,7 +21,7 @@
 /// The size of one read, in bytes.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Whether a connection continues after a read.
+/// The result of a read, for the connection's task.
 enum ReadOutcome {
     Continue,
     /// The replica has closed the connection while it was idle.
--- a/crates/linenthread-service/src/transports/connection/frame_writer.rs
+++ b/crates/linenthread-service/src/transports/connection/frame_writer.rs
@@ -29,7 +29,7 @@
 }
 
 impl OutgoingFrame {
-    /// Whether the frame contains only this attempt.
+    /// Reports whether the frame contains only this attempt.
     pub(super) fn is_only_for(&self, number: AttemptNumber) -> bool {
         match &self.contents {
             FrameContents::Requests(sent) => sent.len() == 1 && sent[0].number == number,
--- a/crates/linenthread-service/src/transports/connection/in_flight.rs
+++ b/crates/linenthread-service/src/transports/connection/in_flight.rs
@@ -35,7 +35,7 @@
             return;
         }
         attempts.remove(&self.id);
-        connection.remember_finished(&self.id);
+        connection.record_finished(&self.id);
         let mut outgoing = connection.outgoing.borrow_mut();
         // If its frame contains nothing else and no byte of it is written, the frame is dropped and the replica is not
         // sent a cancellation.
--- a/crates/linenthread-service/src/transports/connection/messages.rs
+++ b/crates/linenthread-service/src/transports/connection/messages.rs
@@ -85,7 +85,7 @@
         }
         let pending = self.attempts.borrow_mut().remove(id);
         if let Some(pending) = pending {
-            self.remember_finished(id);
+            self.record_finished(id);
             pending.reporter.report(outcome, queue_depth, value);
         } else if !self.finished_ids.borrow().contains(&hash_id(id)) {
             return UnknownResponseSnafu.fail();
@@ -108,7 +108,7 @@
         self.outgoing.borrow_mut().clear();
     }
 
-    /// The outcome of an attempt or a probe that was in flight when the connection ended.
+    /// Returns the outcome of an attempt or a probe that was in flight when the connection ended.
     fn outcome_at_end(&self, progress: WriteProgress, end: ConnectionEnd) -> AttemptOutcome {
         match (progress, end) {
             // The replica may or may not have run it.
--- a/crates/linenthread-service/src/transports/connection/mod.rs
+++ b/crates/linenthread-service/src/transports/connection/mod.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::transports) struct AttemptNumber(pub(in crate::transports) u64);
 
-/// Whether the frame of an attempt or a probe is written.
+/// The progress in writing the frame of an attempt or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteProgress {
     /// The frame is queued or partly written: the replica cannot act on it.
@@ -199,13 +199,13 @@
         self.attempts.borrow().len()
     }
 
-    /// Returns whether an attempt with one of these ids is in flight.
+    /// Reports whether an attempt with one of these ids is in flight.
     pub(in crate::transports) fn has_any(&self, ids: &[String]) -> bool {
         let attempts = self.attempts.borrow();
         ids.iter().any(|id| attempts.contains_key(id))
     }
 
-    /// Returns whether the connection takes new requests.
+    /// Reports whether the connection takes new requests.
     pub(in crate::transports) fn is_usable(&self) -> bool {
         !self.is_unresponsive.get() && !self.is_retired.get()
     }
@@ -218,12 +218,12 @@
         self.last_read.get()
     }
 
-    /// Whether nothing is in flight and no frame is queued.
+    /// Reports whether nothing is in flight and no frame is queued.
     fn is_empty(&self) -> bool {
         self.in_flight() == 0 && self.outgoing.borrow().is_empty()
     }
 
-    fn remember_finished(&self, id: &str) {
+    fn record_finished(&self, id: &str) {
         let mut finished_ids = self.finished_ids.borrow_mut();
         if finished_ids.len() >= MAX_REMEMBERED_IDS {
             finished_ids.pop_front();
--- a/crates/linenthread-service/src/transports/link/connection.rs
+++ b/crates/linenthread-service/src/transports/link/connection.rs
@@ -21,7 +21,7 @@
 /// Maximum sleep of the link's task: 10 s.
 const MAX_SLEEP: TenthMillis = 100_000;
 
-/// Why a link's connection ended. The text is logged.
+/// The reason why a link's connection ended. The text is logged.
 #[derive(Debug, Snafu)]
 enum LinkError {
     #[snafu(display("cannot connect: {source}"))]
--- a/crates/linenthread-service/src/transports/link/mod.rs
+++ b/crates/linenthread-service/src/transports/link/mod.rs
@@ -116,7 +116,7 @@
         peer
     }
 
-    /// Returns whether the link is usable, and its capacity.
+    /// Reports whether the link is usable, and its capacity.
     pub(crate) fn status(&self) -> LinkStatus {
         self.0.client.borrow().status()
     }
--- a/crates/linenthread-service/src/transports/mod.rs
+++ b/crates/linenthread-service/src/transports/mod.rs
@@ -18,7 +18,7 @@
 use attempt::{ConnectionConfig, OutcomeSender, OutgoingSubRequest, ProbeReport, report_not_sent};
 use replica_connections::ReplicaConnections;
 
-/// How a replica is reached.
+/// The route to a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Route {
     /// Over a connection to this address.
@@ -119,12 +119,12 @@
         self.0.direct.set_address(replica, address);
     }
 
-    /// Returns whether a replica is not reached over a link. What arrives over a link is never sent over another.
+    /// Reports whether a replica is not reached over a link. What arrives over a link is never sent over another.
     pub(crate) fn is_direct(&self, replica: ReplicaIndex) -> bool {
         !self.0.remote.borrow().contains_key(&replica)
     }
 
-    /// Returns whether a replica has neither a route nor a connection, so that its index may be reused.
+    /// Reports whether a replica has neither a route nor a connection, so that its index may be reused.
     pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         self.is_direct(replica) && self.0.direct.is_vacant(replica)
     }
--- a/crates/linenthread-service/src/transports/replica_connections.rs
+++ b/crates/linenthread-service/src/transports/replica_connections.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns whether a replica has neither an address nor a connection, so that its index may be reused.
+    /// Reports whether a replica has neither an address nor a connection, so that its index may be reused.
     pub(crate) fn is_vacant(&self, replica: ReplicaIndex) -> bool {
         let endpoints = self.0.endpoints.borrow();
         endpoints
@@ -204,7 +204,7 @@
         self.open(replica, address, endpoint)
     }
 
-    /// Whether the maximum number of connections is reached.
+    /// Reports whether the maximum number of connections is reached.
     fn is_full(&self) -> bool {
         self.0.connection_count.get() >= self.0.config.max_connections
     }
--- a/crates/linenthread-store/src/directory.rs
+++ b/crates/linenthread-store/src/directory.rs
@@ -11,7 +11,7 @@
 /// The file that the process using a directory keeps locked.
 const LOCK_FILE: &str = "lock";
 
-/// Why a directory can't be used.
+/// The reason why a directory can't be used.
 #[derive(Debug, Snafu)]
 pub enum DirectoryError {
     /// The directory can't be created, locked or synced.
--- a/crates/linenthread-store/src/error.rs
+++ b/crates/linenthread-store/src/error.rs
@@ -6,7 +6,7 @@
 
 use crate::format::{MAX_RECORD_BYTES, VERSION};
 
-/// Why a log can't be opened, or rejects a record or a sync.
+/// The reason why a log can't be opened, or rejects a record or a sync.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum LogError {
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -160,8 +160,9 @@
     (0..3_000).for_each(|seed| CrashScenario::new(seed).run());
 }
 
-/// A flipped bit in synced bytes is reported as damage, with the file. Only in the last record, which no later record
-/// proves to have been synced, is it treated as a torn write: the record is truncated, and that is reported.
+/// A flipped bit in synced bytes is reported as damage, with the file. Only in the records of the last sync (here a
+/// single record), which no later record proves to have been synced, is it treated as a torn write: they are
+/// truncated, and that is reported.
 #[test]
 fn damage_is_reported_and_never_skipped() {
     let (mut reported, mut truncated) = (0, 0);
--- a/crates/linenthread-zones/src/controller/adoption.rs
+++ b/crates/linenthread-zones/src/controller/adoption.rs
@@ -14,7 +14,8 @@
 /// The budget that a new leader begins with.
 const INITIAL_OPENINGS: f64 = 5.0;
 const TENTHS_PER_MINUTE: TenthMillis = 600_000;
-/// A change of a share by no more than this part of the larger one does not by itself cause a new table.
+/// A change of a share by no more than this part of the larger one does not by itself cause a new table, unless the
+/// route opens to all keys.
 const MIN_RELATIVE_CHANGE: f64 = 0.05;
 
 /// The budget that limits how often routes open further.
--- a/crates/linenthread-zones/src/report.rs
+++ b/crates/linenthread-zones/src/report.rs
@@ -38,7 +38,7 @@
     pub latency_sum_ms: u64,
 }
 
-/// What one or many observers reported for an interval.
+/// The observations of one or many coordinators in an interval.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// By zone of clients.
