--- a/crates/linenthread-service/src/coordinator_driver/membership.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership.rs
@@ -1,4 +1,4 @@
-//! The known replicas: those that the service discovery lists, and those behind peers' links.
+//! The known replicas: those that service discovery lists, and those behind peers' links.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,7 @@
     replica_groups: usize,
     /// Names of the zones in the order of their numbers. All other names share one further zone.
     zone_names: Vec<String>,
-    /// The replicas that the service discovery lists, by id, to be announced to peers.
+    /// The replicas that service discovery lists, by id, to be announced to peers.
     local: BTreeMap<String, Member>,
     /// By the peer's number.
     peers: Vec<PeerMembers>,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Applies a list of the service discovery; returns its entries for the coordinator.
+    /// Applies a list of service discovery; returns its entries for the coordinator.
     pub(super) fn apply_list(
         &mut self,
         list: &membership::MembershipList,
@@ -80,7 +80,7 @@
             entries.extend(self.apply_listed(listed, submitted));
         }
         if list.complete {
-            // The service discovery's complete list does not contain the replicas that only peers reach.
+            // Service discovery's complete list does not contain the replicas that only peers reach.
             let remote = std::mem::take(&mut self.remote);
             for (id, replica) in &remote {
                 entries.push(self.remote_entry(id, replica));
@@ -99,7 +99,7 @@
     ) -> Option<MembershipEntry> {
         let is_removed = listed.phase == Phase::Removed;
         self.update_local(listed);
-        // A replica that the service discovery lists is reached directly, even if peers list it too.
+        // A replica that service discovery lists is reached directly, even if peers list it too.
         self.remote.remove(&listed.id);
         if is_removed && self.replicas.get(&listed.id).is_none() {
             return None;
@@ -214,7 +214,7 @@
         entries
     }
 
-    /// Returns the replicas behind links that are up, except those that the service discovery lists.
+    /// Returns the replicas behind links that are up, except those that service discovery lists.
     fn reachable_remote(&self) -> BTreeMap<String, RemoteReplica> {
         let reachable_peers = || {
             self.peers
@@ -281,12 +281,12 @@
         }
     }
 
-    /// Returns the replicas that the service discovery lists.
+    /// Returns the replicas that service discovery lists.
     pub(super) fn local_members(&self) -> Vec<Member> {
         self.local.values().cloned().collect()
     }
 
-    /// Returns the index of a replica that the service discovery lists and that is reached directly.
+    /// Returns the index of a replica that service discovery lists and that is reached directly.
     pub(super) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
         let replica = self.replicas.get(id)?;
         let is_direct = self.local.contains_key(id) && self.transports.is_direct(replica);
--- a/crates/linenthread-service/src/coordinator_driver/membership_updates.rs
+++ b/crates/linenthread-service/src/coordinator_driver/membership_updates.rs
@@ -1,4 +1,4 @@
-//! The driver's part in membership: passes the service discovery's lists and the links' reports to the coordinator, and
+//! The driver's part in membership: passes service discovery's lists and the links' reports to the coordinator, and
 //! provides the members that the gateway announces to its peers.
 
 use linenthread_core::interface::{MembershipEntry, MembershipUpdate, ReplicaIndex};
@@ -16,7 +16,7 @@
         id.unwrap_or_default().to_owned()
     }
 
-    /// Handles an update of the service discovery's list; `None` if the list could not be fetched.
+    /// Handles an update of service discovery's list; `None` if the list could not be fetched.
     pub(crate) fn on_membership(&self, list: Option<&MembershipList>) {
         self.update_membership(match list {
             None => MembershipUpdate::Unavailable,
@@ -40,7 +40,7 @@
         self.add_input(|inputs| inputs.membership.push(update));
     }
 
-    /// Waits until the coordinator requests the service discovery's list.
+    /// Waits until the coordinator requests service discovery's list.
     pub(crate) async fn membership_requested(&self) {
         self.0.membership_requested.notified().await;
     }
@@ -62,17 +62,17 @@
         }
     }
 
-    /// Waits until the service discovery's list has changed.
+    /// Waits until service discovery's list has changed.
     pub(crate) async fn local_changed(&self) {
         self.0.local_changed.notified().await;
     }
 
-    /// Returns the replicas that the service discovery lists, to be announced to peers.
+    /// Returns the replicas that service discovery lists, to be announced to peers.
     pub(crate) fn local_members(&self) -> Vec<Member> {
         self.0.state.borrow().membership.local_members()
     }
 
-    /// Returns the index of a replica that the service discovery lists and that is reached directly.
+    /// Returns the index of a replica that service discovery lists and that is reached directly.
     pub(crate) fn direct_replica(&self, id: &str) -> Option<ReplicaIndex> {
         self.0.state.borrow().membership.direct_replica(id)
     }
--- a/crates/linenthread-service/src/coordinator_driver/mod.rs
+++ b/crates/linenthread-service/src/coordinator_driver/mod.rs
@@ -74,9 +74,9 @@
     state: RefCell<State>,
     /// Notified when there are inputs for a step.
     has_input: Notify,
-    /// Notified when the coordinator requests the service discovery's list.
+    /// Notified when the coordinator requests service discovery's list.
     membership_requested: Notify,
-    /// Notified when the service discovery's list has changed.
+    /// Notified when service discovery's list has changed.
     local_changed: Notify,
     transports: Transports,
 }
--- a/crates/linenthread-service/src/coordinator_driver/peer_members.rs
+++ b/crates/linenthread-service/src/coordinator_driver/peer_members.rs
@@ -46,7 +46,7 @@
         if is_complete {
             self.by_id.clear();
         }
-        // The service discovery's limit applies to gateways too. Updates of listed replicas are always applied.
+        // Service discovery's limit applies to gateways too. Updates of listed replicas are always applied.
         for member in valid {
             let has_room = self.by_id.len() < MAX_REPLICAS;
             match member.phase {
--- a/crates/linenthread-service/src/frontends/link/mod.rs
+++ b/crates/linenthread-service/src/frontends/link/mod.rs
@@ -126,7 +126,7 @@
         );
     }
 
-    /// Announces to the peers the replicas that the service discovery lists, at the start and after each change.
+    /// Announces to the peers the replicas that service discovery lists, at the start and after each change.
     async fn announce_members(&self) {
         loop {
             let members = self
