--- a/crates/linenthread-service/src/coordinator_driver/peer_members.rs
+++ b/crates/linenthread-service/src/coordinator_driver/peer_members.rs
@@ -14,7 +14,7 @@
 }
 
 impl PeerMembers {
-    /// The link counts as down until it reports otherwise.
+    /// Creates an empty list for a link that counts as down until it reports otherwise.
     pub(super) fn new() -> Self {
         PeerMembers {
             link: LinkAvailability::Down,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Whether the link accepts calls.
+    /// Reports whether the link accepts calls.
     pub(super) fn is_reachable(&self) -> bool {
         self.link == LinkAvailability::Up
     }
@@ -46,7 +46,7 @@
         if is_complete {
             self.by_id.clear();
         }
-        // The service discovery's limit applies to gateways too. Updates of listed replicas are always applied.
+        // Service discovery's limit applies to gateways too. Updates of listed replicas are always applied.
         for member in valid {
             let has_room = self.by_id.len() < MAX_REPLICAS;
             match member.phase {
