--- a/crates/linenthread-checker/src/register/transition.rs
+++ b/crates/linenthread-checker/src/register/transition.rs
@@ -258,7 +258,7 @@
         self.state.update_history(|history| match (outcome, order) {
             (Outcome::Committed(_), Some(order)) => history.record_acknowledged(order),
             (Outcome::Conflict(_), Some(order)) => history.record_rejected(order),
-            (Outcome::Newest(value), _) => history.record_read(job, value),
+            (Outcome::NewestValue(value), _) => history.record_read(job, value),
             _ => {}
         });
     }
--- a/crates/linenthread-consensus/src/acceptor.rs
+++ b/crates/linenthread-consensus/src/acceptor.rs
@@ -42,7 +42,7 @@
     }
 
     /// Reports whether this node has accepted a value that it does not know to be decided.
-    pub(crate) fn has_undecided(&self) -> bool {
+    pub(crate) fn has_undecided_value(&self) -> bool {
         self.accepted.is_some()
     }
 
--- a/crates/linenthread-consensus/src/change.rs
+++ b/crates/linenthread-consensus/src/change.rs
@@ -39,7 +39,7 @@
         report: UsageReport,
         /// The newest window whose report was delivered to the platform. The new value omits this report and all
         /// earlier ones.
-        delivered: Option<WindowNumber>,
+        delivered_window: Option<WindowNumber>,
     },
 }
 
--- a/crates/linenthread-consensus/src/jobs.rs
+++ b/crates/linenthread-consensus/src/jobs.rs
@@ -17,7 +17,7 @@
     /// The change is not decided and never will be. Contains the newest revision of the configuration.
     Conflict(Revision),
     /// The newest value at some time after the read was submitted.
-    Newest(Box<Value>),
+    NewestValue(Box<Value>),
     /// For a change, it is unknown whether it is or will be decided; for a read, which value is the newest.
     Unknown(UnknownReason),
 }
--- a/crates/linenthread-consensus/src/proposal.rs
+++ b/crates/linenthread-consensus/src/proposal.rs
@@ -143,7 +143,10 @@
                 voters,
                 epoch,
             },
-            Change::Usage { report, delivered } => Proposal::Usage { report, delivered },
+            Change::Usage {
+                report,
+                delivered_window: delivered,
+            } => Proposal::Usage { report, delivered },
         }
     }
 }
--- a/crates/linenthread-consensus/src/proposer.rs
+++ b/crates/linenthread-consensus/src/proposer.rs
@@ -103,7 +103,7 @@
         }
         match &mut self.round {
             Some(round) if round.is_resend_due(now) => {
-                round.resent(now);
+                round.on_resent(now);
                 send_to_all(decided.voters(), &round.request(), effects);
             }
             None if self.backoff.allows_round(now) => self.start_round(now, decided, effects),
--- a/crates/linenthread-consensus/src/reader.rs
+++ b/crates/linenthread-consensus/src/reader.rs
@@ -171,7 +171,7 @@
         decided: &DecidedState,
         effects: &mut Vec<Effect>,
     ) -> ReadProgress {
-        let reported = ValueNumber::new(reply.decided);
+        let reported = ValueNumber::new(reply.decided_number);
         if reported > decided.number() {
             return ReadProgress::Lagging;
         }
@@ -182,7 +182,7 @@
         else {
             return ReadProgress::Incomplete;
         };
-        let has_undecided = reply.pending && reported == decided.number();
+        let has_undecided = reply.has_undecided_value && reported == decided.number();
         round.replies.insert(from, has_undecided);
         if !decided.is_majority(round.replies.keys().copied()) {
             return ReadProgress::Incomplete;
@@ -202,7 +202,7 @@
         };
         effects.extend(round.reads.into_iter().map(|read| Effect::Reply {
             job: read.job,
-            outcome: Outcome::Newest(Box::new(newest.clone())),
+            outcome: Outcome::NewestValue(Box::new(newest.clone())),
         }));
     }
 }
--- a/crates/linenthread-consensus/src/register.rs
+++ b/crates/linenthread-consensus/src/register.rs
@@ -99,14 +99,14 @@
     }
 
     /// Reports whether this node has accepted a value that it does not know to be decided.
-    pub fn has_undecided(&self) -> bool {
-        self.acceptor.has_undecided()
+    pub fn has_undecided_value(&self) -> bool {
+        self.acceptor.has_undecided_value()
     }
 
     /// Requests a round that decides the value that this node has accepted, if it has accepted one that it does not
     /// know to be decided. The round starts at a later [`Register::tick`].
-    pub fn complete_undecided(&mut self) {
-        if self.acceptor.has_undecided() {
+    pub fn complete_undecided_value(&mut self) {
+        if self.acceptor.has_undecided_value() {
             self.proposer.request_recovery();
         }
     }
@@ -123,25 +123,25 @@
 
     /// Returns the number of the newest decided value that is synced to this node's disk; [`ValueNumber::FIRST`] also
     /// if there is none.
-    pub fn durable_number(&self) -> ValueNumber {
+    pub fn durable_value_number(&self) -> ValueNumber {
         self.durability.number()
     }
 
     /// Reports whether this node has a value and its order log is complete, within the log's size limit and apart
     /// from orders that no voter has.
-    pub fn order_log_complete(&self) -> bool {
+    pub fn is_order_log_complete(&self) -> bool {
         self.decided.value().is_some() && self.decided.order_log().is_complete()
     }
 
     /// Reports whether the order log is complete and synced to this node's disk.
-    pub fn order_log_durable(&self) -> bool {
-        self.order_log_complete() && self.durability.is_order_log_synced()
+    pub fn is_order_log_durable(&self) -> bool {
+        self.is_order_log_complete() && self.durability.is_order_log_synced()
     }
 
     /// Reports whether the newest decided value and the complete order log are synced to this node's disk, which is
     /// the precondition for becoming a voter (*orders-known-at-each-node*).
     pub fn is_fully_durable(&self) -> bool {
-        self.order_log_durable() && self.durability.is_synced(self.decided.number())
+        self.is_order_log_durable() && self.durability.is_synced(self.decided.number())
     }
 
     /// Proposes a change. The job is completed by an [`Effect::Reply`]: at `deadline` with [`Outcome::Unknown`], if
@@ -384,8 +384,8 @@
         };
         let reply = ReadReply {
             read_id: request.read_id,
-            decided: value.number,
-            pending: self.acceptor.has_undecided(),
+            decided_number: value.number,
+            has_undecided_value: self.acceptor.has_undecided_value(),
         };
         effects.push(Effect::Send {
             to: from,
--- a/crates/linenthread-consensus/src/round.rs
+++ b/crates/linenthread-consensus/src/round.rs
@@ -94,7 +94,7 @@
         now >= self.last_sent + RESEND_INTERVAL
     }
 
-    pub(crate) fn resent(&mut self, now: Instant) {
+    pub(crate) fn on_resent(&mut self, now: Instant) {
         self.last_sent = now;
     }
 
--- a/crates/linenthread-consensus/tests/consensus/acceptor.rs
+++ b/crates/linenthread-consensus/tests/consensus/acceptor.rs
@@ -150,5 +150,5 @@
     );
     assert!(!promises(&mut register, 2, 3));
     assert!(promises(&mut register, 2, 5));
-    assert!(register.has_undecided());
+    assert!(register.has_undecided_value());
 }
--- a/crates/linenthread-consensus/tests/consensus/orders.rs
+++ b/crates/linenthread-consensus/tests/consensus/orders.rs
@@ -128,14 +128,14 @@
     // Node 3 learns the newest value, but receives no orders older than the recent ones in that value.
     cluster.set_loss_rule(|_, _, message| matches!(message, PeerMessage::OrderLogEntries(_)));
     assert_eq!(cluster.propose(3, order(99, 100, "100")), committed(100));
-    assert!(!cluster.register(3).order_log_complete());
+    assert!(!cluster.register(3).is_order_log_complete());
     let gap = Outcome::Unknown(UnknownReason::OrderLogGap);
     assert_eq!(cluster.propose(3, order(39, 40, "40")), gap);
     assert_eq!(cluster.propose(3, order(39, 40, "other")), gap);
     assert_eq!(cluster.propose(3, order(94, 95, "other")), conflict(100));
     cluster.set_loss_rule(|_, _, _| false);
     cluster.advance_time(Duration::from_secs(1));
-    assert!(cluster.register(3).order_log_complete());
+    assert!(cluster.register(3).is_order_log_complete());
     assert_eq!(cluster.propose(3, order(39, 40, "40")), committed(40));
     assert_eq!(cluster.propose(3, order(39, 40, "other")), conflict(100));
 }
@@ -161,18 +161,18 @@
     cluster.stall_disk(3);
     cluster.replace_disk(3);
     assert!(
-        cluster.register(3).order_log_complete(),
+        cluster.register(3).is_order_log_complete(),
         "the order log in memory is complete"
     );
     assert!(
         !cluster.register(3).is_fully_durable()
-            && cluster.register(3).durable_number() == ValueNumber::FIRST
+            && cluster.register(3).durable_value_number() == ValueNumber::FIRST
     );
-    assert!(!cluster.register(3).order_log_durable());
+    assert!(!cluster.register(3).is_order_log_durable());
     cluster.sync_disk(3);
-    assert!(cluster.register(3).is_fully_durable() && cluster.register(3).order_log_durable());
+    assert!(cluster.register(3).is_fully_durable() && cluster.register(3).is_order_log_durable());
     assert_eq!(
-        cluster.register(3).durable_number(),
+        cluster.register(3).durable_value_number(),
         ValueNumber::new(ORDERS_ON_A_BUSY_DAY + 1)
     );
 }
@@ -190,7 +190,7 @@
     assert!(cluster.register(3).is_fully_durable());
     cluster.restart(3);
     assert!(
-        cluster.register(3).order_log_complete()
+        cluster.register(3).is_order_log_complete()
             && cluster.register(3).order_log().len() as u64 == ORDERS_ON_A_BUSY_DAY
     );
 }
@@ -201,7 +201,7 @@
     cluster.commit_orders(1, 1..=5_000);
     cluster.clear_sent();
     cluster.replace_disk(3);
-    assert!(cluster.register(3).order_log_complete());
+    assert!(cluster.register(3).is_order_log_complete());
     let chunks = 5_000_usize.div_ceil(MAX_ORDERS_PER_MESSAGE);
     assert_eq!(
         cluster.count_sent(|message| matches!(message, PeerMessage::OrderLogRequest(_))),
--- a/crates/linenthread-consensus/tests/consensus/reads.rs
+++ b/crates/linenthread-consensus/tests/consensus/reads.rs
@@ -33,7 +33,10 @@
     }
     trio.isolated = vec![1];
     trio.read(3, 7);
-    assert_eq!(trio.last_outcome(), &Outcome::Newest(Box::new(undecided)));
+    assert_eq!(
+        trio.last_outcome(),
+        &Outcome::NewestValue(Box::new(undecided))
+    );
     assert_eq!(
         trio.register(3).decided().map(|value| value.number),
         Some(1)
--- a/crates/linenthread-consensus/tests/consensus/suspension.rs
+++ b/crates/linenthread-consensus/tests/consensus/suspension.rs
@@ -25,8 +25,8 @@
     for from in [1, 2] {
         let reply = ReadReply {
             read_id,
-            decided: 0,
-            pending: false,
+            decided_number: 0,
+            has_undecided_value: false,
         };
         register.on_message(
             at(now),
@@ -72,7 +72,7 @@
     let effects = deliver_replies(&mut register, 21_010, new);
     assert!(matches!(
         outcomes(effects)[..],
-        [(JobId(1), Outcome::Newest(_))]
+        [(JobId(1), Outcome::NewestValue(_))]
     ));
 }
 
@@ -86,12 +86,12 @@
     let second = read_id_of(&effects);
     assert!(matches!(
         outcomes(effects)[..],
-        [(JobId(1), Outcome::Newest(_))]
+        [(JobId(1), Outcome::NewestValue(_))]
     ));
     let effects = deliver_replies(&mut register, 1_030, second);
     assert!(matches!(
         outcomes(effects)[..],
-        [(JobId(2), Outcome::Newest(_))]
+        [(JobId(2), Outcome::NewestValue(_))]
     ));
 }
 
--- a/crates/linenthread-consensus/tests/consensus/usage.rs
+++ b/crates/linenthread-consensus/tests/consensus/usage.rs
@@ -16,7 +16,7 @@
 fn usage(window: u64, body: &str) -> Change {
     Change::Usage {
         report: report(window, body),
-        delivered: None,
+        delivered_window: None,
     }
 }
 
@@ -77,7 +77,7 @@
         1,
         Change::Usage {
             report: report(9, "c"),
-            delivered: Some(WindowNumber::new(7)),
+            delivered_window: Some(WindowNumber::new(7)),
         },
     );
     assert_eq!(
--- a/crates/linenthread-control/src/address_book.rs
+++ b/crates/linenthread-control/src/address_book.rs
@@ -49,7 +49,7 @@
 
 /// The known control addresses, with the state of dialling for each.
 pub(crate) struct AddressBook {
-    own: String,
+    own_address: String,
     bootstrap: Vec<String>,
     started_at: Instant,
     known: BTreeMap<String, DialState>,
@@ -59,7 +59,7 @@
 impl AddressBook {
     pub(crate) fn new(own: String, bootstrap: &[String], now: Instant) -> AddressBook {
         let mut addresses = AddressBook {
-            own,
+            own_address: own,
             bootstrap: Vec::new(),
             started_at: now,
             known: BTreeMap::new(),
@@ -74,11 +74,11 @@
     }
 
     /// Returns all addresses, including this node's own.
-    pub(crate) fn all(&self) -> Vec<String> {
+    pub(crate) fn all_addresses(&self) -> Vec<String> {
         self.known
             .keys()
             .cloned()
-            .chain([self.own.clone()])
+            .chain([self.own_address.clone()])
             .collect()
     }
 
@@ -92,10 +92,10 @@
 
     /// Adds an address if it is unknown.
     pub(crate) fn learn(&mut self, now: Instant, address: &str) {
-        if address == self.own || address.is_empty() || self.known.contains_key(address) {
+        if address == self.own_address || address.is_empty() || self.known.contains_key(address) {
             return;
         }
-        let delay = if self.own.as_str() < address {
+        let delay = if self.own_address.as_str() < address {
             Duration::ZERO
         } else {
             DIAL_PRIORITY_DELAY
--- a/crates/linenthread-control/src/agreed_time.rs
+++ b/crates/linenthread-control/src/agreed_time.rs
@@ -25,15 +25,15 @@
 /// while they are fewer than half: see [`AgreedTime::offset`].
 #[derive(Debug, Default)]
 pub struct AgreedTime {
-    own: Option<ClockOffset>,
+    local: Option<ClockOffset>,
     /// By control address of the peer. A machine keeps its address through restarts and the loss of its disk.
     peers: BTreeMap<String, PeerClock>,
 }
 
 impl AgreedTime {
     /// Records that this node's own clock showed `wall` at `now`.
-    pub fn observe_own(&mut self, now: Instant, wall: WallTime) {
-        self.own = Some(ClockOffset::between(now, wall));
+    pub fn observe_local(&mut self, now: Instant, wall: WallTime) {
+        self.local = Some(ClockOffset::between(now, wall));
     }
 
     /// Records a heartbeat that arrived at `now` from the peer at `address`, whose own clock showed `wall` when it was
@@ -52,15 +52,15 @@
     /// Removes the clocks of peers that have been silent for too long, and of replaced peers: those that are out of
     /// contact and whose address is not a voter's. If the clock of a replaced peer counted besides its successor's, a
     /// minority of wrong clocks could become half of all.
-    pub fn forget_silent(&mut self, now: Instant, is_voter: impl Fn(&str) -> bool) {
+    pub fn remove_silent_peers(&mut self, now: Instant, is_voter: impl Fn(&str) -> bool) {
         self.peers.retain(|address, clock| {
             clock.is_retained(now) && (clock.is_in_contact(now) || is_voter(address))
         });
     }
 
     /// Returns the time of this node's own clock at `now`, according to its last observation.
-    pub fn own_wall_time(&self, now: Instant) -> Option<WallTime> {
-        self.own.map(|offset| offset.wall_time(now))
+    pub fn local_wall_time(&self, now: Instant) -> Option<WallTime> {
+        self.local.map(|offset| offset.wall_time(now))
     }
 
     /// Returns the median of all offsets, or the lower one of the two in the middle if their number is even; `None`
@@ -68,7 +68,7 @@
     pub fn offset(&self, now: Instant) -> Option<ClockOffset> {
         let peers = self.peers.values().filter(|clock| clock.is_retained(now));
         let mut offsets: Vec<ClockOffset> =
-            peers.map(|clock| clock.offset).chain(self.own).collect();
+            peers.map(|clock| clock.offset).chain(self.local).collect();
         offsets.sort_unstable();
         let last = offsets.len().checked_sub(1)?;
         Some(offsets[last / 2])
--- a/crates/linenthread-control/src/control_node.rs
+++ b/crates/linenthread-control/src/control_node.rs
@@ -32,7 +32,7 @@
 use crate::agreed_time::AgreedTime;
 use crate::ingress_nodes::IngressNodes;
 use crate::membership::Membership;
-use crate::own_durability::OwnDurability;
+use crate::own_durability::LocalDurability;
 use crate::pending_drains::PendingDrains;
 use crate::pending_jobs::PendingJobs;
 use crate::quorum_contact::QuorumContact;
@@ -59,7 +59,7 @@
     /// Events from this node to itself: messages as one of the voters, and completed syncs of its disk.
     loopback: VecDeque<LoopbackEvent>,
     pending_jobs: PendingJobs,
-    durability: OwnDurability,
+    durability: LocalDurability,
     contact: QuorumContact,
     membership: Membership,
     agreed_time: AgreedTime,
@@ -96,7 +96,7 @@
             voting: VotingState::new(now),
             loopback: VecDeque::new(),
             pending_jobs: PendingJobs::default(),
-            durability: OwnDurability::new(epoch),
+            durability: LocalDurability::new(epoch),
             contact: QuorumContact::new(now),
             membership: Membership::default(),
             agreed_time: AgreedTime::default(),
@@ -147,7 +147,7 @@
 
     /// Returns all ingress nodes that have a session with any control node, by name.
     pub fn ingress_sessions(&self) -> BTreeMap<String, IngressSession> {
-        self.ingress_nodes.all()
+        self.ingress_nodes.all_sessions()
     }
 
     /// Returns the time of day that the control nodes agree on, as an offset from this node's monotonic clock; `None`
--- a/crates/linenthread-control/src/control_node/contact.rs
+++ b/crates/linenthread-control/src/control_node/contact.rs
@@ -50,13 +50,13 @@
     pub(super) fn update_contact(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let has_quorum = self.has_quorum(now);
         match self.contact.update(now, has_quorum) {
-            Some(ContactChange::Began) => {
+            Some(ContactChange::Established) => {
                 for session in self.ingress_nodes.sessions() {
                     self.confirm_configuration(now, session, effects);
                     self.update_ingress_node(now, session, effects);
                 }
             }
-            Some(ContactChange::Ended) => {
+            Some(ContactChange::Lost) => {
                 effects.push(Effect::Log(ControlEvent::QuorumLost));
                 self.drop_ingress_sessions(now, effects);
             }
--- a/crates/linenthread-control/src/control_node/heartbeats.rs
+++ b/crates/linenthread-control/src/control_node/heartbeats.rs
@@ -11,7 +11,7 @@
     /// Records that this node's wall clock shows `wall` at `now`. Call it before passing in messages and ticks of the same
     /// instant. The wall clock is used only to assign instants to windows of usage reports.
     pub fn observe_wall_clock(&mut self, now: Instant, wall: WallTime) {
-        self.agreed_time.observe_own(now, wall);
+        self.agreed_time.observe_local(now, wall);
     }
 
     /// Builds the part of a heartbeat that is the same for all peers.
@@ -38,7 +38,10 @@
     fn control_heartbeat(&self, now: Instant, echoed_sent_at: Option<u64>) -> Heartbeat {
         Heartbeat {
             echoed_sent_at,
-            wall_time_ms: self.agreed_time.own_wall_time(now).map(WallTime::as_millis),
+            wall_time_ms: self
+                .agreed_time
+                .local_wall_time(now)
+                .map(WallTime::as_millis),
             ..self.heartbeat(now)
         }
     }
--- a/crates/linenthread-control/src/control_node/leader_lease.rs
+++ b/crates/linenthread-control/src/control_node/leader_lease.rs
@@ -60,7 +60,8 @@
         request: &LeaseRequest,
         effects: &mut Vec<Effect>,
     ) {
-        let value_number = Some(self.value_number()).filter(|_| !self.register.has_undecided());
+        let value_number =
+            Some(self.value_number()).filter(|_| !self.register.has_undecided_value());
         let reply = self
             .lease
             .on_lease_request(now, from, request, value_number);
--- a/crates/linenthread-control/src/control_node/register_driver.rs
+++ b/crates/linenthread-control/src/control_node/register_driver.rs
@@ -209,7 +209,7 @@
             }
             Some(JobOwner::Confirmation(session)) => {
                 if let Some(ingress) = self.ingress_nodes.get_mut(session) {
-                    let is_newest = has_quorum && matches!(outcome, Outcome::Newest(_));
+                    let is_newest = has_quorum && matches!(outcome, Outcome::NewestValue(_));
                     ingress.on_confirmation(is_newest);
                     self.update_ingress_node(now, session, effects);
                 }
@@ -235,7 +235,7 @@
         self.drive_register(
             now,
             |register, register_effects| {
-                register.complete_undecided();
+                register.complete_undecided_value();
                 register.tick(now, register_effects);
             },
             effects,
--- a/crates/linenthread-control/src/control_node/replica_updates.rs
+++ b/crates/linenthread-control/src/control_node/replica_updates.rs
@@ -37,9 +37,9 @@
         peer.on_synchronized(now, self.address_book.version());
         let update = ControlUpdate {
             replicas: self.registry.snapshot(now),
-            sessions: self.ingress_nodes.local(),
+            sessions: self.ingress_nodes.local_sessions(),
             has_sessions: true,
-            control_addresses: self.address_book.all(),
+            control_addresses: self.address_book.all_addresses(),
             update_id: 0,
             complete: true,
         };
@@ -51,8 +51,8 @@
 
     /// Sends all control nodes this node's sessions with ingress nodes, and the control addresses they have not received.
     pub(super) fn send_ingress_sessions(&mut self, effects: &mut Vec<Effect>) {
-        let sessions = self.ingress_nodes.local();
-        let addresses = self.address_book.all();
+        let sessions = self.ingress_nodes.local_sessions();
+        let addresses = self.address_book.all_addresses();
         let version = self.address_book.version();
         for (session, peer) in self.membership.iter_mut() {
             let update = ControlUpdate {
--- a/crates/linenthread-control/src/control_node/sessions.rs
+++ b/crates/linenthread-control/src/control_node/sessions.rs
@@ -133,7 +133,7 @@
         hello: ControlNodeHello,
         effects: &mut Vec<Effect>,
     ) {
-        for old_session in self.membership.superseded(&hello) {
+        for old_session in self.membership.superseded_sessions(&hello) {
             self.drop_session(now, old_session, effects);
         }
         effects.push(Effect::Log(ControlEvent::SessionOpened {
@@ -156,7 +156,7 @@
         hello: IngressNodeHello,
         effects: &mut Vec<Effect>,
     ) {
-        for old_session in self.ingress_nodes.superseded(&hello) {
+        for old_session in self.ingress_nodes.superseded_sessions(&hello) {
             self.drop_session(now, old_session, effects);
         }
         effects.push(Effect::Log(ControlEvent::SessionOpened {
--- a/crates/linenthread-control/src/control_node/shutdown.rs
+++ b/crates/linenthread-control/src/control_node/shutdown.rs
@@ -64,7 +64,7 @@
                 .collect(),
             min_voters: self.config.min_voters,
             local: LocalWork {
-                has_undecided_value: self.register.has_undecided(),
+                has_undecided_value: self.register.has_undecided_value(),
                 has_pending_calls: self.pending_jobs.has_calls()
                     || self.pending_jobs.has_voter_change()
                     || !self.pending_drains.is_empty(),
--- a/crates/linenthread-control/src/control_node/status.rs
+++ b/crates/linenthread-control/src/control_node/status.rs
@@ -24,7 +24,7 @@
             "revision": decided.map_or(Revision::NONE, Revision::of).get(),
             "counted": voters.iter().map(|voter| &voter.address).collect::<Vec<_>>(),
             "hubs": self.membership.newest_sessions().map(|peer| control_node(now, peer)).collect::<Vec<_>>(),
-            "fronts": self.ingress_nodes.all().values().map(ingress_node).collect::<Vec<_>>(),
+            "fronts": self.ingress_nodes.all_sessions().values().map(ingress_node).collect::<Vec<_>>(),
         })
     }
 
--- a/crates/linenthread-control/src/control_node/ticks.rs
+++ b/crates/linenthread-control/src/control_node/ticks.rs
@@ -56,12 +56,12 @@
     fn upkeep(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let timed_out = self
             .membership
-            .timed_out(now)
+            .timed_out_sessions(now)
             .into_iter()
-            .chain(self.ingress_nodes.timed_out(now));
+            .chain(self.ingress_nodes.timed_out_sessions(now));
         let duplicates = self
             .membership
-            .duplicates(now, &self.config.control_address);
+            .duplicate_sessions(now, &self.config.control_address);
         for session in timed_out.chain(duplicates) {
             self.drop_session(now, session, effects);
         }
@@ -79,15 +79,15 @@
     /// time-out: before that, heartbeats may not have reached it.
     fn expire_replicas(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let timeout = MISSED_HEARTBEATS * self.config.heartbeat_interval + REPLICA_TIMEOUT_MARGIN;
-        let settled = self
+        let is_registry_complete = self
             .contact
-            .since()
+            .in_contact_since()
             .is_some_and(|since| now > since + timeout);
-        if self.registry.set_settled(settled) {
+        if self.registry.set_complete(is_registry_complete) {
             // From now on a replica that is missing from a complete update is not running.
             self.ingress_nodes.resend_all();
         }
-        if !settled {
+        if !is_registry_complete {
             return;
         }
         for id in self.registry.expire(now, timeout) {
@@ -108,7 +108,7 @@
     /// Sends heartbeats, and performs the work that depends on received heartbeats: lease requests and quota grants.
     fn heartbeat_tick(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         let voters = self.register.voters();
-        self.agreed_time.forget_silent(now, |address| {
+        self.agreed_time.remove_silent_peers(now, |address| {
             voters.iter().any(|voter| voter.address == address)
         });
         self.send_heartbeats(now, effects);
@@ -122,9 +122,9 @@
         self.complete_stalled_value(now, effects);
         self.request_lease(now, effects);
         if let Some(epoch) = self.lease_epoch(now) {
-            let grants = self
-                .quota_allocator
-                .allocate(now, epoch, &self.ingress_nodes.all());
+            let grants =
+                self.quota_allocator
+                    .allocate(now, epoch, &self.ingress_nodes.all_sessions());
             self.send_quota_grants(QuotaGrants { grants }, effects);
         }
     }
@@ -132,7 +132,7 @@
     /// Completes a value that is still undecided at the second heartbeat tick in a row, because no lease is granted while
     /// a value is undecided.
     fn complete_stalled_value(&mut self, now: Instant, effects: &mut Vec<Effect>) {
-        let has_undecided = self.register.has_undecided();
+        let has_undecided = self.register.has_undecided_value();
         if self.voting.on_heartbeat_tick(has_undecided) {
             self.complete_undecided(now, effects);
         }
--- a/crates/linenthread-control/src/control_node/usage.rs
+++ b/crates/linenthread-control/src/control_node/usage.rs
@@ -10,7 +10,7 @@
 use crate::platform_call::{PlatformCallId, PlatformOutcome};
 use crate::timing::{CALL_TIMEOUT, USAGE_SETTLE_TIME};
 use crate::usage_body::usage_body;
-use crate::usage_duty::{CallConsequence, Tenure};
+use crate::usage_duty::{ActiveLease, CallConsequence};
 use crate::{ControlEvent, ControlNode, Effect, SessionId};
 
 /// The fraction of the report delay, counted from the end of a window, during which late counts are still awaited.
@@ -46,7 +46,7 @@
 
     /// Sends all counts of this node to a control node that has just connected.
     pub(super) fn synchronize_usage(&self, session: SessionId, effects: &mut Vec<Effect>) {
-        let ingress_nodes = self.usage_ledger.all();
+        let ingress_nodes = self.usage_ledger.all_counts();
         if !ingress_nodes.is_empty() {
             effects.push(Effect::Send {
                 session,
@@ -57,7 +57,7 @@
 
     /// Sends the other control nodes the counts that this node has received since the last call.
     pub(super) fn flush_usage(&mut self, effects: &mut Vec<Effect>) {
-        let ingress_nodes = self.usage_ledger.take_news();
+        let ingress_nodes = self.usage_ledger.take_unsent();
         if ingress_nodes.is_empty() {
             return;
         }
@@ -77,9 +77,9 @@
     /// Only the holder of the leader lease does so, and only while in contact with a majority.
     pub(super) fn report_usage(&mut self, now: Instant, effects: &mut Vec<Effect>) {
         if let Some(newest) = self.register.newest_usage_window() {
-            self.usage_ledger.close(newest);
+            self.usage_ledger.close_windows(newest);
         }
-        let Some(tenure) = self.usage_tenure(now) else {
+        let Some(tenure) = self.usage_lease(now) else {
             return;
         };
         self.propose_usage_report(now, effects);
@@ -87,10 +87,10 @@
     }
 
     /// Returns the lease epoch and expiry under which this node may report usage now; `None` if it may not.
-    fn usage_tenure(&self, now: Instant) -> Option<Tenure> {
+    fn usage_lease(&self, now: Instant) -> Option<ActiveLease> {
         let has_duty = self.config.usage.is_some() && self.has_quorum(now);
         let epoch = self.lease_epoch(now).filter(|_| has_duty)?;
-        Some(Tenure {
+        Some(ActiveLease {
             epoch,
             expires_at: self.lease.expires_at(now)?,
         })
@@ -115,7 +115,7 @@
         };
         let change = Change::Usage {
             report,
-            delivered: self.usage_duty.delivered(),
+            delivered_window: self.usage_duty.delivered_window(),
         };
         let job = self.pending_jobs.add(JobOwner::UsageReport);
         self.drive_register(
@@ -138,7 +138,7 @@
         let collection_time = usage.report_delay.mul_f64(COLLECTION_SHARE);
         let now_ms = self.agreed_time(now)?.as_millis();
         let collected_until_ms = now_ms.checked_sub(whole_millis(collection_time))?;
-        let current = WindowNumber::of(
+        let current = WindowNumber::containing(
             WallTime::from_millis(collected_until_ms),
             usage.window_length,
         );
@@ -163,10 +163,10 @@
     /// Returns the number of decided reports that are not known to be delivered to the platform.
     fn undelivered_reports(&self) -> usize {
         let reports = decided_reports(&self.register);
-        self.usage_duty.undelivered(reports).count()
+        self.usage_duty.undelivered_reports(reports).count()
     }
 
-    fn call_platform(&mut self, now: Instant, tenure: Tenure, effects: &mut Vec<Effect>) {
+    fn call_platform(&mut self, now: Instant, tenure: ActiveLease, effects: &mut Vec<Effect>) {
         let reports = decided_reports(&self.register);
         if let Some(call) = self.usage_duty.next_call(now, tenure, reports) {
             effects.push(Effect::CallPlatform(call));
@@ -218,9 +218,9 @@
             "fence": epoch.map(Epoch::get),
             "held_ms": acquired_at.map(|acquired_at| whole_millis(now.since(acquired_at))),
             "refused": epoch.is_some_and(|epoch| self.usage_duty.is_refused(epoch)),
-            "last_fence_used": self.usage_duty.acting_epoch().map(Epoch::get),
+            "last_fence_used": self.usage_duty.last_call_epoch().map(Epoch::get),
             "decided_window": self.register.newest_usage_window().map(WindowNumber::get),
-            "delivered_window": self.usage_duty.delivered().map(WindowNumber::get),
+            "delivered_window": self.usage_duty.delivered_window().map(WindowNumber::get),
             "undelivered": self.undelivered_reports(),
             "dropped_requests": self.usage_ledger.dropped_requests(),
             "value": self.register.decided().map(|value| ValueNumber::of(value).get()),
--- a/crates/linenthread-control/src/control_node/voters.rs
+++ b/crates/linenthread-control/src/control_node/voters.rs
@@ -140,9 +140,9 @@
 
     fn voter_state(&self, now: Instant, voter: &Voter, in_contact: bool) -> VoterState {
         let last_seen = self.membership.last_seen(&voter.address);
-        let last_seen_at = last_seen.map_or(self.contact.started_at(), |seen| seen.at);
+        let last_seen_at = last_seen.map_or(self.contact.started_at(), |seen| seen.seen_at);
         // While this node was itself out of contact with a majority, it could not tell whether the voter was running.
-        let out_of_contact_since = last_seen_at.max(self.contact.since().unwrap_or(now));
+        let out_of_contact_since = last_seen_at.max(self.contact.in_contact_since().unwrap_or(now));
         let replaced =
             last_seen.is_some_and(|seen| seen.node_id != voter.into() && seen.voter_eligible);
         // If another node runs at the voter's address, the voter will not return: it counts as lost immediately, without
--- a/crates/linenthread-control/src/graceful_shutdown.rs
+++ b/crates/linenthread-control/src/graceful_shutdown.rs
@@ -91,9 +91,9 @@
     /// The voters are being changed.
     Reconfiguration,
     /// The node is a voter that is about to be replaced or removed.
-    OwnVote,
+    StillVoter,
     /// Too few other disks hold the newest value.
-    TooFewCopies,
+    TooFewDurableVoters,
     /// The node still holds the leader lease.
     LeaderLease,
 }
@@ -107,8 +107,8 @@
                 "not all control nodes in contact have acknowledged the shutdown"
             }
             ShutdownBlocker::Reconfiguration => "the voters are being changed",
-            ShutdownBlocker::OwnVote => "its vote is not replaced or removed yet",
-            ShutdownBlocker::TooFewCopies => "too few other disks hold the newest value",
+            ShutdownBlocker::StillVoter => "its vote is not replaced or removed yet",
+            ShutdownBlocker::TooFewDurableVoters => "too few other disks hold the newest value",
             ShutdownBlocker::LeaderLease => "the leader lease is not released yet",
         })
     }
@@ -190,10 +190,10 @@
             view.min_voters,
         );
     if will_be_removed && view.own_position().is_some() {
-        return ShutdownStep::Wait(ShutdownBlocker::OwnVote);
+        return ShutdownStep::Wait(ShutdownBlocker::StillVoter);
     }
     if !view.has_enough_copies() {
-        return ShutdownStep::Wait(ShutdownBlocker::TooFewCopies);
+        return ShutdownStep::Wait(ShutdownBlocker::TooFewDurableVoters);
     }
     if view.local.is_leader {
         return ShutdownStep::ReleaseLease;
--- a/crates/linenthread-control/src/ingress_nodes.rs
+++ b/crates/linenthread-control/src/ingress_nodes.rs
@@ -99,13 +99,13 @@
     }
 
     /// Returns the sessions on which nothing was received for too long.
-    pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
+    pub(crate) fn timed_out_sessions(&self, now: Instant) -> Vec<SessionId> {
         self.sessions_where(|peer| now > peer.last_received_at() + SESSION_TIMEOUT)
     }
 
     /// Returns the sessions with earlier incarnations of an ingress node. They are obsolete, even if their connections
     /// seem to be open.
-    pub(crate) fn superseded(&self, hello: &IngressNodeHello) -> Vec<SessionId> {
+    pub(crate) fn superseded_sessions(&self, hello: &IngressNodeHello) -> Vec<SessionId> {
         self.sessions_where(|peer| {
             peer.hello().name == hello.name && peer.hello().incarnation != hello.incarnation
         })
@@ -127,7 +127,7 @@
     }
 
     /// Returns this node's own ingress sessions, in the form in which they are sent to the other control nodes.
-    pub(crate) fn local(&self) -> Vec<IngressSession> {
+    pub(crate) fn local_sessions(&self) -> Vec<IngressSession> {
         self.peers.values().map(IngressPeer::to_message).collect()
     }
 
@@ -138,9 +138,9 @@
 
     /// Returns all ingress nodes with a session with any control node, by name. Of several sessions of one incarnation,
     /// the one with the newest quota request is returned.
-    pub(crate) fn all(&self) -> BTreeMap<String, IngressSession> {
+    pub(crate) fn all_sessions(&self) -> BTreeMap<String, IngressSession> {
         let mut all: BTreeMap<String, IngressSession> = BTreeMap::new();
-        let local = self.local();
+        let local = self.local_sessions();
         for session in local.iter().chain(self.remote.values().flatten()) {
             let replaces = all.get(&session.name).is_none_or(|known| {
                 known.incarnation != session.incarnation
--- a/crates/linenthread-control/src/ingress_peer.rs
+++ b/crates/linenthread-control/src/ingress_peer.rs
@@ -149,7 +149,7 @@
         source: &UpdateSource,
     ) -> Option<IngressUpdate> {
         let update = self.missing_state(now, change_log_id, source);
-        let newly_confirmed = update.confirmed && !self.sent_confirmed;
+        let newly_confirmed = update.value_confirmed && !self.sent_confirmed;
         let is_needed = update.complete
             || !update.replicas.is_empty()
             || update.value.is_some()
@@ -182,12 +182,12 @@
             },
             value: self.missing_value(source).cloned(),
             control_addresses: if new_addresses {
-                source.address_book.all()
+                source.address_book.all_addresses()
             } else {
                 Vec::new()
             },
-            confirmed: self.is_confirmed(),
-            registry_settled: source.registry.is_settled(),
+            value_confirmed: self.is_confirmed(),
+            registry_complete: source.registry.is_complete(),
         }
     }
 
@@ -204,7 +204,7 @@
             self.sent_revision = Revision::of(value);
         }
         self.sent_offset = Some(source.registry.changes().offset());
-        self.sent_confirmed = update.confirmed;
+        self.sent_confirmed = update.value_confirmed;
         self.sent_addresses = source.address_book.version();
     }
 }
--- a/crates/linenthread-control/src/membership.rs
+++ b/crates/linenthread-control/src/membership.rs
@@ -17,7 +17,7 @@
     pub(crate) voter_eligible: bool,
     /// When the node was last in contact, or when the first Hello since then was received. Only that first Hello
     /// counts, though it proves no round trip: contact follows within milliseconds or not at all.
-    pub(crate) at: Instant,
+    pub(crate) seen_at: Instant,
     /// Whether a Hello was received since the node was last in contact; further ones do not count.
     awaits_contact: bool,
 }
@@ -85,7 +85,7 @@
     ///
     /// Only the node with the lower address closes them: if both nodes did, each might close the session that the other
     /// one keeps.
-    pub(crate) fn duplicates(&self, now: Instant, own_address: &str) -> Vec<SessionId> {
+    pub(crate) fn duplicate_sessions(&self, now: Instant, own_address: &str) -> Vec<SessionId> {
         // Of several sessions with a node, the newest one remains in the map.
         let kept: BTreeMap<NodeId, SessionId> = self
             .iter()
@@ -104,7 +104,7 @@
 
     /// Returns the sessions with earlier incarnations of a node. They are obsolete, even if their connections seem to
     /// be open.
-    pub(crate) fn superseded(&self, hello: &ControlNodeHello) -> Vec<SessionId> {
+    pub(crate) fn superseded_sessions(&self, hello: &ControlNodeHello) -> Vec<SessionId> {
         self.iter()
             .filter(|(_, peer)| {
                 peer.hello().name == hello.name && peer.hello().incarnation != hello.incarnation
@@ -114,7 +114,7 @@
     }
 
     /// Returns the sessions on which nothing was received for too long.
-    pub(crate) fn timed_out(&self, now: Instant) -> Vec<SessionId> {
+    pub(crate) fn timed_out_sessions(&self, now: Instant) -> Vec<SessionId> {
         self.iter()
             .filter(|(_, peer)| now > peer.last_received_at() + SESSION_TIMEOUT)
             .map(|(session, _)| session)
@@ -126,11 +126,11 @@
             .last_seen
             .get(&hello.control_address)
             .filter(|seen| seen.node_id == hello.node_id && seen.awaits_contact)
-            .map(|seen| seen.at);
+            .map(|seen| seen.seen_at);
         let seen = LastSeen {
             node_id: hello.node_id,
             voter_eligible: hello.voter_eligible,
-            at: awaits_contact_since.unwrap_or(now),
+            seen_at: awaits_contact_since.unwrap_or(now),
             awaits_contact: true,
         };
         self.last_seen.insert(hello.control_address.clone(), seen);
@@ -155,7 +155,7 @@
 
     fn record_contact(&mut self, address: &str, at: Instant) {
         if let Some(seen) = self.last_seen.get_mut(address) {
-            seen.at = at;
+            seen.seen_at = at;
             seen.awaits_contact = false;
         }
     }
--- a/crates/linenthread-control/src/own_durability.rs
+++ b/crates/linenthread-control/src/own_durability.rs
@@ -3,18 +3,18 @@
 use linenthread_consensus::{Epoch, ValueNumber};
 
 /// What is known to be durable on the node's own disk.
-pub(crate) struct OwnDurability {
+pub(crate) struct LocalDurability {
     /// Number of the newest value up to which the disk holds everything.
     value_number: Option<ValueNumber>,
     /// The newest epoch on the disk.
     epoch: Epoch,
 }
 
-impl OwnDurability {
+impl LocalDurability {
     /// Creates the state at start-up: the epoch is durable; the values are not known to be until the register reports
     /// them.
-    pub(crate) fn new(epoch: Epoch) -> OwnDurability {
-        OwnDurability {
+    pub(crate) fn new(epoch: Epoch) -> LocalDurability {
+        LocalDurability {
             value_number: None,
             epoch,
         }
--- a/crates/linenthread-control/src/pending_jobs.rs
+++ b/crates/linenthread-control/src/pending_jobs.rs
@@ -66,7 +66,7 @@
         match outcome {
             Outcome::Committed(revision) => Response::Committed(revision),
             Outcome::Conflict(revision) => Response::Conflict(revision),
-            Outcome::Newest(value) => Response::Document(*value),
+            Outcome::NewestValue(value) => Response::Document(*value),
             Outcome::Unknown(reason) => Response::Unavailable(reason.into()),
         }
     }
--- a/crates/linenthread-control/src/quorum_contact.rs
+++ b/crates/linenthread-control/src/quorum_contact.rs
@@ -11,16 +11,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ContactChange {
     /// The node came into contact with a majority.
-    Began,
+    Established,
     /// The node is no longer in contact with a majority.
-    Ended,
+    Lost,
 }
 
 /// When the node started, and since when it is in contact with a majority of the voters.
 pub(crate) struct QuorumContact {
     started_at: Instant,
     /// When the current contact began; `None` while out of contact.
-    since: Option<Instant>,
+    in_contact_since: Option<Instant>,
     /// When the state machine last processed anything.
     last_active_at: Instant,
 }
@@ -29,7 +29,7 @@
     pub(crate) fn new(now: Instant) -> QuorumContact {
         QuorumContact {
             started_at: now,
-            since: None,
+            in_contact_since: None,
             last_active_at: now,
         }
     }
@@ -40,8 +40,8 @@
     }
 
     /// Returns since when contact has lasted without interruption; `None` while out of contact.
-    pub(crate) fn since(&self) -> Option<Instant> {
-        self.since
+    pub(crate) fn in_contact_since(&self) -> Option<Instant> {
+        self.in_contact_since
     }
 
     /// Reports whether the node started so recently that it may not have found the other nodes yet.
@@ -51,14 +51,14 @@
 
     /// Records whether the node is in contact with a majority; returns the change, if there is one.
     pub(crate) fn update(&mut self, now: Instant, has_quorum: bool) -> Option<ContactChange> {
-        match (has_quorum, self.since) {
+        match (has_quorum, self.in_contact_since) {
             (true, None) => {
-                self.since = Some(now);
-                Some(ContactChange::Began)
+                self.in_contact_since = Some(now);
+                Some(ContactChange::Established)
             }
             (false, Some(_)) => {
-                self.since = None;
-                Some(ContactChange::Ended)
+                self.in_contact_since = None;
+                Some(ContactChange::Lost)
             }
             _ => None,
         }
@@ -66,7 +66,7 @@
 
     /// Ends any contact, after the process was paused.
     pub(crate) fn reset(&mut self) {
-        self.since = None;
+        self.in_contact_since = None;
     }
 
     /// Records that the state machine runs; returns for how long it did not run, if that exceeds [`PAUSE_TIMEOUT`].
--- a/crates/linenthread-control/src/quota_allocator.rs
+++ b/crates/linenthread-control/src/quota_allocator.rs
@@ -74,7 +74,7 @@
             } else {
                 EarlierGrants::MayBeInUse
             };
-            self.budget.begin(now, earlier);
+            self.budget.start_granting(now, earlier);
         }
         self.last_epoch = Some(epoch);
         self.granted_requests.clear();
--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -176,7 +176,7 @@
     replicas: BTreeMap<String, RegisteredReplica>,
     changes: ChangeLog,
     /// Whether heartbeats were received for so long that a replica which is not in the registry can't be running.
-    is_settled: bool,
+    is_complete: bool,
     /// The cached digest; `None` if the replicas it covers have changed.
     digest: Cell<Option<u64>>,
 }
@@ -186,7 +186,7 @@
         ReplicaRegistry {
             replicas: BTreeMap::new(),
             changes: ChangeLog::new(MAX_LOGGED_CHANGES),
-            is_settled: false,
+            is_complete: false,
             digest: Cell::new(None),
         }
     }
@@ -225,14 +225,14 @@
 
     /// Reports whether heartbeats were received for so long that a replica which is not in the registry can't be
     /// running.
-    pub(crate) fn is_settled(&self) -> bool {
-        self.is_settled
+    pub(crate) fn is_complete(&self) -> bool {
+        self.is_complete
     }
 
     /// Records whether the registry is settled; returns whether it has just become so.
-    pub(crate) fn set_settled(&mut self, is_settled: bool) -> bool {
-        let was_settled = std::mem::replace(&mut self.is_settled, is_settled);
-        is_settled && !was_settled
+    pub(crate) fn set_complete(&mut self, is_complete: bool) -> bool {
+        let was_complete = std::mem::replace(&mut self.is_complete, is_complete);
+        is_complete && !was_complete
     }
 
     /// Restores the replicas from disk. They are not logged as changes, since nobody has been sent an offset of this
--- a/crates/linenthread-control/src/response.rs
+++ b/crates/linenthread-control/src/response.rs
@@ -46,7 +46,7 @@
     BaseNotCommitted,
     /// The order is older than the orders that this node retains, or in a part of the order log that the node has not
     /// fetched.
-    OrderNotRemembered,
+    OrderNotRetained,
 }
 
 impl From<UnknownReason> for UnavailableReason {
@@ -56,7 +56,7 @@
             UnknownReason::TooManyPending => UnavailableReason::TooManyPending,
             UnknownReason::NoValue => UnavailableReason::Joining,
             UnknownReason::BaseNotDecided => UnavailableReason::BaseNotCommitted,
-            UnknownReason::OrderLogGap => UnavailableReason::OrderNotRemembered,
+            UnknownReason::OrderLogGap => UnavailableReason::OrderNotRetained,
         }
     }
 }
@@ -75,7 +75,7 @@
             UnavailableReason::BaseNotCommitted => {
                 "the base revision is above the newest one: correct it, or send the order again once it is in force"
             }
-            UnavailableReason::OrderNotRemembered => {
+            UnavailableReason::OrderNotRetained => {
                 "the control node does not remember what became of this order: ask another one"
             }
         })
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -68,7 +68,7 @@
     }
 
     /// Makes this node the one that grants from the budget, from `now` on.
-    pub fn begin(&mut self, now: Instant, earlier: EarlierGrants) {
+    pub fn start_granting(&mut self, now: Instant, earlier: EarlierGrants) {
         self.available_from = match earlier {
             EarlierGrants::None => now,
             EarlierGrants::MayBeInUse => now + GRANT_LIFETIME + self.window,
@@ -111,7 +111,7 @@
     }
 
     /// Returns how many retries in any window may be in use under all grants.
-    pub fn granted(&self, now: Instant) -> f64 {
+    pub fn total_granted(&self, now: Instant) -> f64 {
         self.grantees
             .values()
             .map(|grantee| grantee.max_share(|grant| grant.in_use_until > now))
--- a/crates/linenthread-control/src/state_log.rs
+++ b/crates/linenthread-control/src/state_log.rs
@@ -109,7 +109,7 @@
             self.state.add(record.clone());
         }
         let result = match self.log.take() {
-            Some(log) if log.bytes() < self.compact_above => append(log, records),
+            Some(log) if log.file_bytes() < self.compact_above => append(log, records),
             Some(log) => rewrite(log, &self.state),
             None => {
                 open_log(&mut self.open_files).and_then(|opened| rewrite(opened.log, &self.state))
@@ -120,8 +120,8 @@
     }
 
     /// Returns the length of the log on disk in bytes; 0 while it is not open.
-    pub fn bytes(&self) -> u64 {
-        self.log.as_ref().map_or(0, Log::bytes)
+    pub fn file_bytes(&self) -> u64 {
+        self.log.as_ref().map_or(0, Log::file_bytes)
     }
 
     /// Returns the length of the complete state in bytes, encoded as records.
--- a/crates/linenthread-control/src/usage_duty.rs
+++ b/crates/linenthread-control/src/usage_duty.rs
@@ -24,7 +24,7 @@
 
 /// The leader lease under which calls are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tenure {
+pub struct ActiveLease {
     /// The epoch of the leader lease.
     pub epoch: Epoch,
     /// When the lease expires, unless it is renewed.
@@ -88,13 +88,13 @@
     /// a call until then.
     last_call_at: Instant,
     /// The epoch of the latest call.
-    acting_epoch: Option<Epoch>,
+    last_call_epoch: Option<Epoch>,
     /// The greatest epoch that the platform has refused.
     refused_epoch: Epoch,
     in_flight: Option<CallInFlight>,
     last_call_id: PlatformCallId,
     /// The newest window whose report the platform is known to have, or whose report was abandoned.
-    delivered: Option<WindowNumber>,
+    delivered_window: Option<WindowNumber>,
     next_call_at: Instant,
     /// Number of consecutive failed calls.
     failures: u32,
@@ -114,11 +114,11 @@
             ),
             seed,
             last_call_at: now,
-            acting_epoch: None,
+            last_call_epoch: None,
             refused_epoch: Epoch::NONE,
             in_flight: None,
             last_call_id: PlatformCallId::default(),
-            delivered: None,
+            delivered_window: None,
             next_call_at: Instant::START,
             failures: 0,
             rejections: 0,
@@ -126,24 +126,24 @@
     }
 
     /// Returns the newest window whose report the platform is known to have, or whose report was abandoned.
-    pub fn delivered(&self) -> Option<WindowNumber> {
-        self.delivered
+    pub fn delivered_window(&self) -> Option<WindowNumber> {
+        self.delivered_window
     }
 
     /// Returns those of these decided reports, ordered from the oldest, that the platform is not known to have.
-    pub fn undelivered<'a>(
+    pub fn undelivered_reports<'a>(
         &self,
         reports: &'a [UsageReport],
     ) -> impl Iterator<Item = &'a UsageReport> + use<'a> {
-        let delivered = self.delivered;
+        let delivered = self.delivered_window;
         reports
             .iter()
             .filter(move |report| Some(WindowNumber::new(report.window)) > delivered)
     }
 
     /// Returns the epoch under which this node last made a call.
-    pub fn acting_epoch(&self) -> Option<Epoch> {
-        self.acting_epoch
+    pub fn last_call_epoch(&self) -> Option<Epoch> {
+        self.last_call_epoch
     }
 
     /// Reports whether the platform has refused this epoch or a higher one.
@@ -152,7 +152,7 @@
     }
 
     fn may_call(&self, now: Instant, epoch: Epoch) -> bool {
-        let has_called = self.acting_epoch == Some(epoch);
+        let has_called = self.last_call_epoch == Some(epoch);
         !self.is_refused(epoch) && (has_called || now >= self.last_call_at + self.lease)
     }
 
@@ -160,21 +160,21 @@
     pub fn next_call(
         &mut self,
         now: Instant,
-        current_lease: Tenure,
+        current_lease: ActiveLease,
         reports: &[UsageReport],
     ) -> Option<PlatformCall> {
         let is_due = self.in_flight.is_none() && now >= self.next_call_at;
         if !is_due || now >= current_lease.expires_at || !self.may_call(now, current_lease.epoch) {
             return None;
         }
-        let report = self.undelivered(reports).next()?;
+        let report = self.undelivered_reports(reports).next()?;
         self.last_call_id = self.last_call_id.next();
         self.in_flight = Some(CallInFlight {
             id: self.last_call_id,
             epoch: current_lease.epoch,
             window: WindowNumber::new(report.window),
         });
-        self.acting_epoch = Some(current_lease.epoch);
+        self.last_call_epoch = Some(current_lease.epoch);
         self.last_call_at = now;
         Some(PlatformCall {
             id: self.last_call_id,
@@ -224,7 +224,7 @@
         window: WindowNumber,
         outcome: PlatformOutcome,
     ) -> CallConsequence {
-        self.delivered = self.delivered.max(Some(window));
+        self.delivered_window = self.delivered_window.max(Some(window));
         (self.failures, self.rejections) = (0, 0);
         self.next_call_at = now + self.call_interval;
         CallConsequence::ReportClosed { window, outcome }
--- a/crates/linenthread-control/src/usage_ledger.rs
+++ b/crates/linenthread-control/src/usage_ledger.rs
@@ -27,7 +27,7 @@
 pub struct UsageLedger {
     windows: BTreeMap<WindowNumber, BTreeMap<IngressIncarnation, TenantCounts>>,
     /// The newest window whose report is decided. Counts of this window and earlier ones no longer change.
-    closed: Option<WindowNumber>,
+    newest_closed_window: Option<WindowNumber>,
     /// Counts received from ingress nodes that were not sent to the other control nodes yet.
     unsent: Vec<IngressUsage>,
     /// The memory of all counts, in bytes.
@@ -53,7 +53,10 @@
 
     fn merge_window(&mut self, ingress: &IngressIncarnation, counts: &WindowCounts) {
         let window = WindowNumber::new(counts.window);
-        if self.closed.is_some_and(|closed| window <= closed) {
+        if self
+            .newest_closed_window
+            .is_some_and(|closed| window <= closed)
+        {
             return;
         }
         let is_full = self.windows.len() >= MAX_WINDOWS && !self.windows.contains_key(&window);
@@ -78,12 +81,12 @@
 
     /// Removes and returns the counts to send to the other control nodes: those received from ingress nodes since the
     /// last call.
-    pub fn take_news(&mut self) -> Vec<IngressUsage> {
+    pub fn take_unsent(&mut self) -> Vec<IngressUsage> {
         std::mem::take(&mut self.unsent)
     }
 
     /// Returns all counts, for a control node that has just connected.
-    pub fn all(&self) -> Vec<IngressUsage> {
+    pub fn all_counts(&self) -> Vec<IngressUsage> {
         let mut by_ingress: BTreeMap<&IngressIncarnation, Vec<WindowCounts>> = BTreeMap::new();
         for (window, counts) in &self.windows {
             for (ingress, by_tenant) in counts {
@@ -118,11 +121,11 @@
     }
 
     /// Removes the counts of all windows up to `newest_decided`, whose reports are decided.
-    pub fn close(&mut self, newest_decided: WindowNumber) {
-        if self.closed >= Some(newest_decided) {
+    pub fn close_windows(&mut self, newest_decided: WindowNumber) {
+        if self.newest_closed_window >= Some(newest_decided) {
             return;
         }
-        self.closed = Some(newest_decided);
+        self.newest_closed_window = Some(newest_decided);
         self.windows = self.windows.split_off(&newest_decided.next());
         let counts = self.windows.values().flat_map(BTreeMap::values);
         let tenants = counts.flat_map(BTreeMap::keys);
--- a/crates/linenthread-control/tests/agreed_time.rs
+++ b/crates/linenthread-control/tests/agreed_time.rs
@@ -24,7 +24,7 @@
 /// The agreed time after the clocks of this node and of its peers were observed, with these errors in milliseconds.
 fn agreed(own: i64, peers: &[i64]) -> AgreedTime {
     let mut agreed = AgreedTime::default();
-    agreed.observe_own(OBSERVED, clock_time(OBSERVED, own));
+    agreed.observe_local(OBSERVED, clock_time(OBSERVED, own));
     for (n, error_ms) in peers.iter().enumerate() {
         agreed.observe_peer(
             OBSERVED,
@@ -58,13 +58,13 @@
 fn there_is_no_agreed_time_before_a_clock_is_known() {
     let agreed = AgreedTime::default();
     assert_eq!(agreed.offset(OBSERVED), None);
-    assert_eq!(agreed.own_wall_time(OBSERVED), None);
+    assert_eq!(agreed.local_wall_time(OBSERVED), None);
 }
 
 #[test]
 fn a_node_without_peers_follows_its_own_clock() {
     let mut agreed = agreed(0, &[]);
-    agreed.observe_own(OBSERVED, clock_time(OBSERVED, 5_000));
+    agreed.observe_local(OBSERVED, clock_time(OBSERVED, 5_000));
     assert_eq!(agreed.offset(OBSERVED), Some(offset(5_000)));
 }
 
@@ -89,9 +89,9 @@
     let mut agreed = agreed(0, &[0, 0]);
     for seconds in 11..=40 {
         let now = Instant::from_millis(seconds * 1_000);
-        agreed.observe_own(now, clock_time(now, 0));
+        agreed.observe_local(now, clock_time(now, 0));
         agreed.observe_peer(now, "peer-1", clock_time(now, error_ms));
-        agreed.forget_silent(now, |_| true);
+        agreed.remove_silent_peers(now, |_| true);
         assert_eq!(agreed.offset(now), Some(offset(0)), "{seconds} s");
     }
 }
@@ -101,7 +101,7 @@
     let mut agreed = agreed(0, &[-9, -5]);
     assert_eq!(agreed.offset(OBSERVED), Some(offset(-5)));
     assert_eq!(agreed.offset(LONG_AFTER), Some(offset(0)));
-    agreed.forget_silent(LONG_AFTER, |_| true);
+    agreed.remove_silent_peers(LONG_AFTER, |_| true);
     assert_eq!(agreed.offset(OBSERVED), Some(offset(0)));
 }
 
@@ -124,9 +124,9 @@
     for peer in ["peer-1", "successor"] {
         agreed.observe_peer(now, peer, clock_time(now, 0));
     }
-    agreed.observe_own(now, clock_time(now, -8_000));
+    agreed.observe_local(now, clock_time(now, -8_000));
     // Two of four clocks are wrong, and the median is the lower one of the middle two.
     assert_eq!(agreed.offset(now), Some(offset(-8_000)));
-    agreed.forget_silent(now, |address| address != "peer-0");
+    agreed.remove_silent_peers(now, |address| address != "peer-0");
     assert_eq!(agreed.offset(now), Some(offset(0)));
 }
--- a/crates/linenthread-control/tests/nodes/contact.rs
+++ b/crates/linenthread-control/tests/nodes/contact.rs
@@ -141,8 +141,8 @@
     });
     PeerMessage::ReadReply(ReadReply {
         read_id: read_id.expect("a read request was sent"),
-        decided: 0,
-        pending: false,
+        decided_number: 0,
+        has_undecided_value: false,
     })
 }
 
--- a/crates/linenthread-control/tests/nodes/usage_reports.rs
+++ b/crates/linenthread-control/tests/nodes/usage_reports.rs
@@ -34,7 +34,7 @@
 }
 
 fn current_window(cluster: &Cluster) -> u64 {
-    WindowNumber::of(cluster.true_time(), WindowLength::new(WINDOW)).get()
+    WindowNumber::containing(cluster.true_time(), WindowLength::new(WINDOW)).get()
 }
 
 /// Returns the time from now until `millis` milliseconds after the end of a window.
--- a/crates/linenthread-control/tests/state_log.rs
+++ b/crates/linenthread-control/tests/state_log.rs
@@ -69,7 +69,7 @@
                 .write(&[decided(synced + 1, 300)])
                 .expect("there is room");
             synced += 1;
-            assert!(opened.log.bytes() < COMPACT_ABOVE + 400);
+            assert!(opened.log.file_bytes() < COMPACT_ABOVE + 400);
         }
         // A loss of power interrupts the last write.
         let syncs = usize::try_from(random.rand_range(0..3)).expect("a small number");
--- a/crates/linenthread-control/tests/texts.rs
+++ b/crates/linenthread-control/tests/texts.rs
@@ -30,7 +30,7 @@
     too_many_pending = { UnavailableReason::TooManyPending, "too many orders and reads are pending" },
     joining = { UnavailableReason::Joining, "the control node has not learned the configuration yet" },
     base_not_committed = { UnavailableReason::BaseNotCommitted, "the base revision is above the newest one: correct it, or send the order again once it is in force" },
-    order_not_remembered = { UnavailableReason::OrderNotRemembered, "the control node does not remember what became of this order: ask another one" },
+    order_not_remembered = { UnavailableReason::OrderNotRetained, "the control node does not remember what became of this order: ask another one" },
 )]
 fn unavailable_responses_state_the_reason(reason: UnavailableReason, text: &str) {
     assert_eq!(reason.to_string(), text);
@@ -41,8 +41,8 @@
     calls = { ShutdownBlocker::PendingCalls, "calls are in flight" },
     unacknowledged = { ShutdownBlocker::Unacknowledged, "not all control nodes in contact have acknowledged the shutdown" },
     reconfiguration = { ShutdownBlocker::Reconfiguration, "the voters are being changed" },
-    own_vote = { ShutdownBlocker::OwnVote, "its vote is not replaced or removed yet" },
-    copies = { ShutdownBlocker::TooFewCopies, "too few other disks hold the newest value" },
+    own_vote = { ShutdownBlocker::StillVoter, "its vote is not replaced or removed yet" },
+    copies = { ShutdownBlocker::TooFewDurableVoters, "too few other disks hold the newest value" },
     lease = { ShutdownBlocker::LeaderLease, "the leader lease is not released yet" },
 )]
 fn the_log_states_why_a_shutdown_waits(blocker: ShutdownBlocker, text: &str) {
--- a/crates/linenthread-control/tests/usage_duty.rs
+++ b/crates/linenthread-control/tests/usage_duty.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use linenthread_control::usage_duty::{CallConsequence, Tenure, UsageDuty};
+use linenthread_control::usage_duty::{ActiveLease, CallConsequence, UsageDuty};
 use linenthread_control::{Epoch, PlatformCall, PlatformOutcome};
 use linenthread_messages::UsageReport;
 use linenthread_time::{Instant, WindowNumber};
@@ -23,8 +23,8 @@
     UsageDuty::new(START, LEASE, 50.0, SEED)
 }
 
-fn current_lease(epoch: u64) -> Tenure {
-    Tenure {
+fn current_lease(epoch: u64) -> ActiveLease {
+    ActiveLease {
         epoch: Epoch::new(epoch),
         expires_at: at(1_000_000),
     }
@@ -62,7 +62,7 @@
 #[test]
 fn no_call_is_made_once_the_lease_has_expired() {
     let mut duty = duty();
-    let expired = Tenure {
+    let expired = ActiveLease {
         expires_at: at(4_000),
         ..current_lease(9)
     };
@@ -144,7 +144,7 @@
     let again = call(&mut duty, 10_300, 9, &[5, 6]).expect("a call");
     assert_eq!(again.report, made.report);
     assert_ne!(again.id, made.id);
-    assert_eq!(duty.delivered(), None);
+    assert_eq!(duty.delivered_window(), None);
 }
 
 // Guards against calling a platform that is down for a long time ever more often, or hardly ever.
@@ -190,7 +190,7 @@
         duty.on_outcome(at(10_000), other, PlatformOutcome::Accepted),
         None
     );
-    assert_eq!(duty.delivered(), None);
+    assert_eq!(duty.delivered_window(), None);
 }
 
 // Guards against exceeding the rate of calls that the platform accepts.
--- a/crates/linenthread-control/tests/usage_ledger.rs
+++ b/crates/linenthread-control/tests/usage_ledger.rs
@@ -69,7 +69,7 @@
     let (mut ledger, mut other) = (UsageLedger::default(), UsageLedger::default());
     ledger.on_ingress_usage(usage("a", 1, &[(7, "t", 3), (8, "u", 1)]));
     ledger.merge(&usage("b", 4, &[(8, "t", 2)]));
-    for message in ledger.all() {
+    for message in ledger.all_counts() {
         other.merge(&message);
     }
     for window in [7, 8] {
@@ -84,8 +84,8 @@
     let own = usage("a", 1, &[(7, "t", 3)]);
     ledger.on_ingress_usage(own.clone());
     ledger.merge(&usage("b", 4, &[(7, "t", 2)]));
-    assert_eq!(ledger.take_news(), [own]);
-    assert_eq!(ledger.take_news(), []);
+    assert_eq!(ledger.take_unsent(), [own]);
+    assert_eq!(ledger.take_unsent(), []);
 }
 
 // Guards against a second report for a window, and against unbounded memory.
@@ -93,12 +93,12 @@
 fn closed_windows_accept_no_counts() {
     let mut ledger = UsageLedger::default();
     ledger.merge(&usage("a", 1, &[(7, "t", 3), (8, "t", 1)]));
-    ledger.close(WindowNumber::new(7));
+    ledger.close_windows(WindowNumber::new(7));
     ledger.merge(&usage("b", 1, &[(6, "t", 9), (7, "t", 9)]));
     assert_eq!(totals(&ledger, 7), []);
     assert_eq!(totals(&ledger, 8), [count("t", 1)]);
     assert_eq!(ledger.oldest_window(), Some(WindowNumber::new(8)));
-    ledger.close(WindowNumber::new(5));
+    ledger.close_windows(WindowNumber::new(5));
     assert_eq!(totals(&ledger, 8), [count("t", 1)]);
 }
 
@@ -155,7 +155,7 @@
         INGRESS_NODES * WINDOWS * TENANTS as u64
     );
     let update = UsageUpdate {
-        ingress_nodes: ledger.all(),
+        ingress_nodes: ledger.all_counts(),
     };
     assert!(
         update.encoded_len() < MAX_FRAME_LENGTH,
@@ -172,7 +172,7 @@
     ledger.merge(&usage_of_many_tenants("a", WINDOWS, 500));
     let dropped = ledger.dropped_requests();
     assert!(dropped > 0);
-    ledger.close(WindowNumber::new(WINDOWS - 1));
+    ledger.close_windows(WindowNumber::new(WINDOWS - 1));
     ledger.merge(&usage("a", 1, &[(WINDOWS, "t", 3)]));
     assert_eq!(totals(&ledger, WINDOWS), [count("t", 3)]);
     assert_eq!(ledger.dropped_requests(), dropped);
--- a/crates/linenthread-core/src/interface/config.rs
+++ b/crates/linenthread-core/src/interface/config.rs
@@ -122,9 +122,9 @@
     /// The limits for replicas that have recently started.
     pub slow_start: SlowStart,
     /// Whether replicas report their queue depth, in responses or to probes.
-    pub reports_queue: bool,
+    pub reports_queue_depth: bool,
     /// Whether replicas keep their queues short and reject further sub-requests, so that no backlog builds up there.
-    pub short_queues: bool,
+    pub bounded_queues: bool,
     /// The time after a replica was reported as draining or removed within which new attempts may still be sent to it.
     pub drain_grace: TenthMillis,
     /// The budget for retries and hedged requests; `None` if they are unlimited.
--- a/crates/linenthread-core/src/interface/decision.rs
+++ b/crates/linenthread-core/src/interface/decision.rs
@@ -30,7 +30,7 @@
 pub trait DecisionSink {
     /// Reports why a query is abandoned; called before the [`reject`](Self::reject) or [`fail`](Self::fail) of the
     /// query.
-    fn abandon_cause(&mut self, _query: QueryIndex, _cause: AbandonCause) {}
+    fn report_abandon_cause(&mut self, _query: QueryIndex, _cause: AbandonCause) {}
     /// Sends the next attempt of a sub-request to a replica.
     ///
     /// `timeout` is the time until the query is abandoned: slow attempts are hedged, not timed out.
--- a/crates/linenthread-core/src/policy/admission.rs
+++ b/crates/linenthread-core/src/policy/admission.rs
@@ -4,7 +4,7 @@
 //! Each query is evaluated once; an admitted query is not rejected here later.
 
 use super::Coordinator;
-use super::windows::{LONG_TERM, MIN_WEIGHT, REPORT_LIFETIME, SHORT_TERM};
+use super::windows::{LONG_TIME_CONSTANT, MIN_WEIGHT, REPORT_LIFETIME, SHORT_TIME_CONSTANT};
 use crate::conversion::to_count;
 use crate::interface::{
     AbandonCause, IndexConfig, QueryIndex, ReplicaIndex, SearchIndex, ValueGrowth,
@@ -138,7 +138,7 @@
     /// pressure and with the query's relative cost. No query is rejected where replicas keep their queues short,
     /// because no backlog delays its sub-requests there.
     fn rejects_as_late(&mut self, pressure: f64, cost: &QueryCost) -> bool {
-        !self.config.short_queues
+        !self.config.bounded_queues
             && self.rng.rand_float() > pressure.powf(ADMISSION_EXPONENT * cost.relative)
     }
 
@@ -157,17 +157,17 @@
 
     fn decay_admission_statistics(&mut self) {
         let now = self.now;
-        self.fleet.log_delays.decay(now, SHORT_TERM);
-        self.fleet.costs.decay(now, LONG_TERM);
+        self.fleet.log_delays.decay(now, SHORT_TIME_CONSTANT);
+        self.fleet.costs.decay(now, LONG_TIME_CONSTANT);
         for queries in &mut self.fleet.customer_queries {
-            queries.decay(now, LONG_TERM);
+            queries.decay(now, LONG_TIME_CONSTANT);
         }
     }
 
     fn record_size(&mut self, query_index: QueryIndex) {
         let query = self.open_query(query_index);
         let (SearchIndex(index), count) = (query.search_index, query.sub_requests.len() as f64);
-        self.fleet.query_sizes[index].record(self.now, LONG_TERM, count);
+        self.fleet.query_sizes[index].record(self.now, LONG_TIME_CONSTANT, count);
     }
 
     fn delay_estimate(&self) -> DelayEstimate {
@@ -203,7 +203,7 @@
         let slowdown = expected
             .get(needed.saturating_sub(1))
             .map_or(1.0, |latency| (latency / delays.log_mean.exp()).max(1.0));
-        slowdown.powi(if self.config.reports_queue {
+        slowdown.powi(if self.config.reports_queue_depth {
             1
         } else {
             UNREPORTED_SLOWDOWN_POWER
--- a/crates/linenthread-core/src/policy/arrival.rs
+++ b/crates/linenthread-core/src/policy/arrival.rs
@@ -1,7 +1,7 @@
 //! Records queries and sub-requests that arrive, continuations, and cancellations by clients.
 
 use super::Coordinator;
-use super::windows::LONG_TERM;
+use super::windows::LONG_TIME_CONSTANT;
 use crate::interface::{
     Continuation, Idempotency, NewQuery, NewSubRequest, QueryIndex, TenthMillis,
 };
@@ -29,7 +29,7 @@
         });
         self.open_queries.push(new.query);
         if let Some(queries) = self.fleet.customer_queries.get_mut(new.customer) {
-            queries.record(self.now, LONG_TERM, 1.0);
+            queries.record(self.now, LONG_TIME_CONSTANT, 1.0);
         }
     }
 
--- a/crates/linenthread-core/src/policy/attempt_result.rs
+++ b/crates/linenthread-core/src/policy/attempt_result.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use super::send_guard::OUTAGE_TRIAL_DELAY;
-use super::windows::{CRASH_TIME_CONSTANT, MIN_WEIGHT, SHORT_TERM};
+use super::windows::{CRASH_TIME_CONSTANT, MIN_WEIGHT, SHORT_TIME_CONSTANT};
 use crate::interface::{
     AttemptOutcome, AttemptResult, DecisionSink, QueryIndex, ReplicaIndex, TenthMillis,
 };
@@ -129,7 +129,9 @@
         let ended_without_response = sub_request.in_flight() == 0 && observed.was_interrupted();
         if !sub_request.succeeded && (is_response || ended_without_response) {
             let age = (now - sub_request.attempts[0].sent_at).max(1) as f64;
-            self.fleet.log_delays.record(now, SHORT_TERM, age.ln());
+            self.fleet
+                .log_delays
+                .record(now, SHORT_TIME_CONSTANT, age.ln());
         }
     }
 
@@ -138,7 +140,9 @@
     fn record_rejection(&mut self, replica: ReplicaIndex) {
         let (now, time_constant) = (self.now, self.fleet.time_constant);
         let log_deadline = self.min_soft_deadline.ln();
-        self.fleet.log_delays.record(now, SHORT_TERM, log_deadline);
+        self.fleet
+            .log_delays
+            .record(now, SHORT_TIME_CONSTANT, log_deadline);
         let replica = &mut self.replicas[replica];
         replica.last_resort_until = now;
         let log_latencies = &mut replica.observations.log_latencies;
@@ -161,7 +165,7 @@
         self.record_latency(observed.replica, log_latency);
         self.fleet
             .log_latencies
-            .record(self.now, SHORT_TERM, log_latency);
+            .record(self.now, SHORT_TIME_CONSTANT, log_latency);
         let query = self.open_query(result.query);
         if self.config.permissions.cancellation && !query.is_finished() {
             let sub_request = &query.sub_requests[result.sub_request];
@@ -180,7 +184,7 @@
         if !sub_request.succeeded && earlier.any(is_overtaken) {
             self.fleet
                 .hedge_share
-                .credit(self.now, SHORT_TERM, HEDGES_PER_WIN);
+                .credit(self.now, SHORT_TIME_CONSTANT, HEDGES_PER_WIN);
         }
     }
 
@@ -261,13 +265,13 @@
         let now = self.now;
         let replica = &mut self.replicas[replica];
         let outage = replica.outage.unwrap_or(Outage {
-            since: now,
+            started_at: now,
             retry_at: now,
         });
         let retry_at = if self.config.permissions.health_probes {
             outage.retry_at
         } else {
-            now + (INITIAL_TRIAL_DELAY + (now - outage.since) / 4).min(MAX_TRIAL_DELAY)
+            now + (INITIAL_TRIAL_DELAY + (now - outage.started_at) / 4).min(MAX_TRIAL_DELAY)
         };
         replica.outage = Some(Outage { retry_at, ..outage });
     }
--- a/crates/linenthread-core/src/policy/capacity.rs
+++ b/crates/linenthread-core/src/policy/capacity.rs
@@ -3,7 +3,7 @@
 
 use super::Coordinator;
 use super::score::SMOOTHING;
-use super::windows::SHORT_TERM;
+use super::windows::SHORT_TIME_CONSTANT;
 use crate::state::decay_factor;
 
 /// The limit on attempts in flight, relative to the responses expected within the shortest soft deadline.
@@ -57,7 +57,8 @@
             .max(observed);
         // Based on attempts sent rather than on responses, since a saturated replica responds to few. The attempt count
         // of the hedge share decays with SHORT_TERM, which makes it a rate.
-        fleet.sent_per_window = fleet.hedge_share.attempts() * window / SHORT_TERM / ready_count;
+        fleet.sent_per_window =
+            fleet.hedge_share.attempts() * window / SHORT_TIME_CONSTANT / ready_count;
     }
 
     fn mean_responses_of_warm_replicas(&self) -> f64 {
@@ -73,8 +74,8 @@
 
     fn update_limits(&mut self, median: f64, ready_count: f64) {
         // A co-ordinator that has recently started has not yet observed a full time constant of responses.
-        let observed_time =
-            SHORT_TERM * (1.0 - decay_factor(self.timers.started_at, self.now, SHORT_TERM));
+        let observed_time = SHORT_TIME_CONSTANT
+            * (1.0 - decay_factor(self.timers.started_at, self.now, SHORT_TIME_CONSTANT));
         let soft_deadline = self.min_soft_deadline;
         let burst_factor =
             (FAST_MEDIAN_SHARE * soft_deadline / median).clamp(1.0, MAX_BURST_FACTOR);
--- a/crates/linenthread-core/src/policy/coordinator.rs
+++ b/crates/linenthread-core/src/policy/coordinator.rs
@@ -7,7 +7,7 @@
 };
 use oorandom::Rand64;
 
-use super::windows::{RESET_INTERVAL, SHORT_TERM};
+use super::windows::{RESET_INTERVAL, SHORT_TIME_CONSTANT};
 use crate::state::{DecayingSums, FleetStatistics, Observations, Query, Replica, Timers};
 
 /// The longest time between two steps.
@@ -46,7 +46,7 @@
         let indexes = std::mem::take(&mut config.indexes);
         let mut coordinator = Coordinator {
             min_soft_deadline: f64::INFINITY,
-            fleet: FleetStatistics::new(config.customer_quotas.len(), SHORT_TERM),
+            fleet: FleetStatistics::new(config.customer_quotas.len(), SHORT_TIME_CONSTANT),
             config,
             rng: Rand64::new(u128::from(seed)),
             now: 0,
--- a/crates/linenthread-core/src/policy/dispatch.rs
+++ b/crates/linenthread-core/src/policy/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use super::query_of_death::CrashEvidence;
-use super::windows::{CRASH_TIME_CONSTANT, SHORT_TERM, WEIGHT_ROUNDING};
+use super::windows::{CRASH_TIME_CONSTANT, SHORT_TIME_CONSTANT, WEIGHT_ROUNDING};
 use crate::conversion::to_u64;
 use crate::interface::{DecisionSink, QueryIndex, SubRequestIndex};
 use crate::state::{Attempt, Query, SubRequest};
@@ -71,7 +71,7 @@
     /// slow ones.
     pub(super) fn send_missing(&mut self, query_index: QueryIndex, sink: &mut impl DecisionSink) {
         let now = self.now;
-        self.fleet.hedge_share.decay(now, SHORT_TERM);
+        self.fleet.hedge_share.decay(now, SHORT_TIME_CONSTANT);
         self.fleet.crashes.decay(now, CRASH_TIME_CONSTANT);
         let Some(Some(query)) = self.queries.get(query_index.0) else {
             return;
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -2,7 +2,8 @@
 
 use super::Coordinator;
 use super::windows::{
-    CRASH_TIME_CONSTANT, LONG_TERM, MIN_WEIGHT, PROBE_TIMEOUT, REPORT_LIFETIME, SHORT_TERM,
+    CRASH_TIME_CONSTANT, LONG_TIME_CONSTANT, MIN_WEIGHT, PROBE_TIMEOUT, REPORT_LIFETIME,
+    SHORT_TIME_CONSTANT,
 };
 use crate::conversion::to_tenth_millis;
 use crate::interface::{
@@ -45,7 +46,9 @@
         };
         let sent_at = replica.probe_sent_at.take().unwrap_or(now);
         let was_late = f64::from(now - sent_at >= PROBE_TIMEOUT);
-        self.fleet.late_probes.record(now, LONG_TERM, was_late);
+        self.fleet
+            .late_probes
+            .record(now, LONG_TIME_CONSTANT, was_late);
         // A replica that lost a connection and whose process is gone may have crashed; a replica that responds has not.
         if replica.suspected_crash && result.outcome != AttemptOutcome::Rejected {
             replica.suspected_crash = false;
@@ -58,7 +61,7 @@
             _ if replica.last_report_at >= sent_at => {}
             AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionLost => {
                 replica.outage.get_or_insert(Outage {
-                    since: now,
+                    started_at: now,
                     retry_at: now + OUTAGE_PROBE_INTERVAL,
                 });
             }
@@ -87,7 +90,7 @@
                 continue;
             }
             let interval =
-                OUTAGE_PROBE_INTERVAL.max((self.now - outage.since) / 4) * interval_factor;
+                OUTAGE_PROBE_INTERVAL.max((self.now - outage.started_at) / 4) * interval_factor;
             let retry_at = self.now + interval + self.random_time(interval);
             let replica = &mut self.replicas[replica_index];
             replica.outage = Some(Outage { retry_at, ..outage });
@@ -113,7 +116,7 @@
         if let Some(probed_at) = query.probed_at {
             return self.waits_for_probes(query, probed_at, max_wait);
         }
-        if !self.config.reports_queue && !self.sample_probe_first() {
+        if !self.config.reports_queue_depth && !self.sample_probe_first() {
             return false;
         }
         self.probe_shard_replicas(query_index, sink)
@@ -123,7 +126,7 @@
     /// sent, and enough time is left.
     fn may_probe_first(&self, query: &Query, max_wait: TenthMillis) -> bool {
         let is_sparsely_observed =
-            self.fleet.time_constant > SPARSE_OBSERVATION_FACTOR * SHORT_TERM;
+            self.fleet.time_constant > SPARSE_OBSERVATION_FACTOR * SHORT_TIME_CONSTANT;
         let is_too_late = self.now + 2 * max_wait > query.hard_deadline;
         is_sparsely_observed
             && self.config.permissions.health_probes
--- a/crates/linenthread-core/src/policy/resolution.rs
+++ b/crates/linenthread-core/src/policy/resolution.rs
@@ -223,7 +223,7 @@
         cause: AbandonCause,
         sink: &mut impl DecisionSink,
     ) {
-        sink.abandon_cause(query_index, cause);
+        sink.report_abandon_cause(query_index, cause);
         let query = self.open_query(query_index);
         let is_idempotent = self.index_config(query).idempotency == Idempotency::Idempotent;
         if is_idempotent || query.sub_requests.iter().all(SubRequest::never_ran) {
--- a/crates/linenthread-core/src/policy/retry_budget.rs
+++ b/crates/linenthread-core/src/policy/retry_budget.rs
@@ -24,8 +24,8 @@
             return true;
         };
         let start = self.now - budget.window;
-        let retries = (self.fleet.retries.since(start) + 1) as f64;
-        let accepted = self.fleet.accepted.since(start + 1) as f64;
+        let retries = (self.fleet.retries.count_since(start) + 1) as f64;
+        let accepted = self.fleet.accepted.count_since(start + 1) as f64;
         retries <= budget.reserve + budget.ratio * accepted
     }
 }
--- a/crates/linenthread-core/src/policy/score.rs
+++ b/crates/linenthread-core/src/policy/score.rs
@@ -4,7 +4,7 @@
 use super::Coordinator;
 use super::windows::{
     MIN_WEIGHT, PROBE_TIMEOUT, REPORT_LIFETIME, RESET_INTERVAL, RETAINED_RESPONSES, SCORE_INTERVAL,
-    SHORT_TERM,
+    SHORT_TIME_CONSTANT,
 };
 use crate::conversion::to_tenth_millis;
 use crate::interface::TenthMillis;
@@ -144,7 +144,7 @@
     /// Sets the time constant so that about [`RETAINED_RESPONSES`] responses of each replica are retained.
     fn update_time_constant(&mut self, ready_count: f64) {
         let fleet = &mut self.fleet;
-        fleet.log_latencies.decay(self.now, SHORT_TERM);
+        fleet.log_latencies.decay(self.now, SHORT_TIME_CONSTANT);
         let response_weight = if fleet.response_weight > 0.0 {
             fleet.response_weight
         } else {
@@ -153,9 +153,11 @@
         let difference = fleet.log_latencies.weight - response_weight;
         fleet.response_weight =
             response_weight + difference * SCORE_INTERVAL as f64 / RESET_INTERVAL as f64;
-        fleet.time_constant = (SHORT_TERM * RETAINED_RESPONSES * ready_count
-            / fleet.response_weight)
-            .clamp(SHORT_TERM, SHORT_TERM * MAX_TIME_CONSTANT_FACTOR);
+        fleet.time_constant =
+            (SHORT_TIME_CONSTANT * RETAINED_RESPONSES * ready_count / fleet.response_weight).clamp(
+                SHORT_TIME_CONSTANT,
+                SHORT_TIME_CONSTANT * MAX_TIME_CONSTANT_FACTOR,
+            );
     }
 
     fn decay_observations(&mut self) {
@@ -200,7 +202,7 @@
 
     /// Clears the observations of replicas, but not those of zones.
     fn reset_observations(&mut self) {
-        let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / SHORT_TERM;
+        let interval = RESET_INTERVAL as f64 * self.fleet.time_constant / SHORT_TIME_CONSTANT;
         self.timers.next_reset = self.now + to_tenth_millis(interval);
         for replica in &mut self.replicas {
             replica.observations = Observations::default();
--- a/crates/linenthread-core/src/policy/send_guard.rs
+++ b/crates/linenthread-core/src/policy/send_guard.rs
@@ -76,7 +76,7 @@
         let replica = &self.replicas[replica_index];
         let allows_trial = |outage: Outage| {
             if self.config.permissions.health_probes {
-                at > outage.since + OUTAGE_TRIAL_DELAY
+                at > outage.started_at + OUTAGE_TRIAL_DELAY
             } else {
                 at >= outage.retry_at && replica.in_flight == 0
             }
--- a/crates/linenthread-core/src/policy/sending.rs
+++ b/crates/linenthread-core/src/policy/sending.rs
@@ -2,7 +2,7 @@
 
 use super::Coordinator;
 use super::resolution::abandon_at;
-use super::windows::{RETAINED_RESPONSES, SHORT_TERM};
+use super::windows::{RETAINED_RESPONSES, SHORT_TIME_CONSTANT};
 use crate::interface::{DecisionSink, QueryIndex, ReplicaIndex, SubRequestIndex, TenthMillis};
 use crate::state::{Attempt, ConnectionUse};
 
@@ -58,7 +58,7 @@
         let is_hedge = sub_request.in_flight() > 0;
         self.fleet
             .hedge_share
-            .record_attempt(now, SHORT_TERM, is_hedge);
+            .record_attempt(now, SHORT_TIME_CONSTANT, is_hedge);
         if is_retry {
             self.count_retry();
         }
--- a/crates/linenthread-core/src/policy/slow_start.rs
+++ b/crates/linenthread-core/src/policy/slow_start.rs
@@ -38,7 +38,9 @@
         };
         let replica = &self.replicas[replica_index];
         let slow_start = &self.config.slow_start;
-        let sent = replica.slow_start_sends.since(self.now - slow_start.window);
+        let sent = replica
+            .slow_start_sends
+            .count_since(self.now - slow_start.window);
         let own_share = replica.entry.slow_start_share.unwrap_or(1.0);
         let budget = slow_start.budget_multiple
             * SLOW_START_UTILIZATION
--- a/crates/linenthread-core/src/policy/windows.rs
+++ b/crates/linenthread-core/src/policy/windows.rs
@@ -15,12 +15,12 @@
 /// The decay time constant of short-term observations; an observation loses most of its weight within this time.
 ///
 /// Unit: 0.1 ms (3 s). Reason: long enough to estimate a spread, short enough to follow a fault.
-pub(super) const SHORT_TERM: f64 = 30_000.0;
+pub(super) const SHORT_TIME_CONSTANT: f64 = 30_000.0;
 
 /// The decay time constant of values compared over a longer time, such as the queries of each customer.
 ///
 /// Unit: 0.1 ms (9 s). Reason: a single customer or index has too few queries within `SHORT_TERM`.
-pub(super) const LONG_TERM: f64 = 3.0 * SHORT_TERM;
+pub(super) const LONG_TIME_CONSTANT: f64 = 3.0 * SHORT_TIME_CONSTANT;
 
 /// The decay time constant of crashes and connection failures.
 ///
--- a/crates/linenthread-core/src/state/replica.rs
+++ b/crates/linenthread-core/src/state/replica.rs
@@ -17,7 +17,7 @@
 /// attempt succeeds, or until the outage has lasted long enough for a trial attempt (`policy::send_guard`).
 #[derive(Clone, Copy)]
 pub(crate) struct Outage {
-    pub since: TenthMillis,
+    pub started_at: TenthMillis,
     /// When the next probe is due; where probes are not permitted, when the next trial attempt is due.
     pub retry_at: TenthMillis,
 }
@@ -66,7 +66,7 @@
     /// When a response or a probe last reported the replica's state.
     pub last_report_at: TenthMillis,
     /// The queue depth in the last report.
-    pub reported_queue: f64,
+    pub reported_queue_depth: f64,
     /// When this queue depth was first reported: an unchanged report is not treated as newer.
     pub reported_since: TenthMillis,
     /// When the probe in flight was sent; `None` if there is none.
@@ -109,7 +109,7 @@
         service_time: f64,
     ) -> f64 {
         let served = (now - self.reported_since) as f64 / service_time;
-        (self.reported_queue - served).max(0.0)
+        (self.reported_queue_depth - served).max(0.0)
             * decay_factor(self.reported_since, now, time_constant)
     }
 
@@ -124,8 +124,8 @@
 
     /// Records a report of the queue depth.
     pub(crate) fn on_report(&mut self, now: TenthMillis, queue_depth: f64) {
-        if queue_depth != self.reported_queue {
-            self.reported_queue = queue_depth;
+        if queue_depth != self.reported_queue_depth {
+            self.reported_queue_depth = queue_depth;
             self.reported_since = now;
         }
         self.last_report_at = now;
@@ -138,6 +138,6 @@
         if std::mem::take(&mut self.crashed) {
             self.restarted_at = Some(now);
         }
-        self.on_report(now, queue_depth.unwrap_or(self.reported_queue));
+        self.on_report(now, queue_depth.unwrap_or(self.reported_queue_depth));
     }
 }
--- a/crates/linenthread-core/src/state/window_counter.rs
+++ b/crates/linenthread-core/src/state/window_counter.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns the number of events from `start` on.
-    pub(crate) fn since(&self, start: TenthMillis) -> usize {
+    pub(crate) fn count_since(&self, start: TenthMillis) -> usize {
         self.0
             .iter()
             .filter(|counted| counted.at >= start)
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -147,7 +147,7 @@
     }
 
     /// Records contact with a control node that has quorum; its earlier messages have been applied.
-    pub fn note_control_contact(&self) {
+    pub fn record_control_contact(&self) {
         self.last_control_contact.set(Some(clock::now()));
     }
 
@@ -171,7 +171,7 @@
                 pool.close_idle();
             }
         }
-        let available = self.replicas.borrow().available();
+        let available = self.replicas.borrow().available_count();
         log::info!(present = available, changed = changed.len(); "event=replicas_updated");
         for dispatcher in self.dispatchers.borrow().values() {
             dispatcher.update_replicas(&changed, &self.zones);
@@ -268,7 +268,7 @@
     }
 
     /// Ends the retry quota when its time is over. Call it several times a second, with or without a control node.
-    pub fn expire(&self) {
+    pub fn expire_retry_quota(&self) {
         let quota = self.retry_quota.get();
         if quota.expires_at <= clock::now() && quota.retries_per_window > 0.0 {
             self.set_retry_quota(RetryQuota {
@@ -302,13 +302,13 @@
     }
 
     /// Returns all usage counts and marks them as sent.
-    pub fn all_usage(&self) -> Vec<WindowCounts> {
-        self.usage.borrow_mut().all()
+    pub fn take_all_usage(&self) -> Vec<WindowCounts> {
+        self.usage.borrow_mut().take_all()
     }
 
     /// Returns the usage counts that have risen since they were last returned by this method or by
     /// [`DataPlane::all_usage`], and marks them as sent.
-    pub fn changed_usage(&self) -> Vec<WindowCounts> {
+    pub fn take_changed_usage(&self) -> Vec<WindowCounts> {
         self.usage.borrow_mut().take_changed()
     }
 
--- a/crates/linenthread-dataplane/src/dispatcher/decisions.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/decisions.rs
@@ -81,7 +81,7 @@
         self.list.push(Decision::Respond { query });
     }
 
-    fn abandon_cause(&mut self, _query: QueryIndex, cause: AbandonCause) {
+    fn report_abandon_cause(&mut self, _query: QueryIndex, cause: AbandonCause) {
         *match cause {
             AbandonCause::DeadlineExceeded => &mut self.abandoned.deadline_exceeded,
             AbandonCause::QueryOfDeath => &mut self.abandoned.crash_suspected,
--- a/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/policy_inputs.rs
@@ -80,8 +80,8 @@
             budget_multiple: 1.0,
             window: SLOW_START_WINDOW,
         },
-        reports_queue: false,
-        short_queues: true,
+        reports_queue_depth: false,
+        bounded_queues: true,
         drain_grace: 0,
         retry_budget: Some(RetryBudget {
             // Set by each quota grant (`set_retry_quota`).
--- a/crates/linenthread-dataplane/src/dispatcher/query.rs
+++ b/crates/linenthread-dataplane/src/dispatcher/query.rs
@@ -12,7 +12,7 @@
 use crate::outcome::{SendState, may_retry};
 use crate::pool::{CompletedAttempt, ReplicaRequest, ReplicaResponse};
 use crate::response::{Response, SubRequestResponses};
-use crate::usage_rule::{UsageRule, requests_started};
+use crate::usage_rule::{UsageRule, requests_to_count};
 
 /// The number of a query within its dispatcher, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -121,7 +121,7 @@
         let sub_request = &mut self.sub_requests[sub_request.0];
         let send_state = completed.outcome.send_state;
         let started_requests =
-            requests_started(UsageRule::IN_FORCE, send_state, self.ended_may_have_run);
+            requests_to_count(UsageRule::CURRENT, send_state, self.ended_may_have_run);
         if send_state == SendState::MayHaveRun {
             self.ended_may_have_run += 1;
         } else {
--- a/crates/linenthread-dataplane/src/lib.rs
+++ b/crates/linenthread-dataplane/src/lib.rs
@@ -42,4 +42,4 @@
 pub use server::serve;
 pub use shutdown::ClosingWatch;
 pub use usage_counter::UsageCounter;
-pub use usage_rule::{UsageRule, requests_started};
+pub use usage_rule::{UsageRule, requests_to_count};
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -105,7 +105,11 @@
 
 impl Outcome {
     /// Derives the outcome of an attempt from an observation on a connection of this age.
-    pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
+    pub fn from_wire_event(
+        event: WireEvent,
+        age: ConnectionAge,
+        response_use: ResponseUse,
+    ) -> Outcome {
         Outcome {
             attempt_outcome: attempt_outcome(event, age, response_use),
             send_state: send_state(event),
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -64,7 +64,7 @@
     /// When the status last changed.
     departure_changed_at: Cell<Instant>,
     max_connections: Cell<usize>,
-    idle: RefCell<Vec<IdleConnection<C>>>,
+    idle_connections: RefCell<Vec<IdleConnection<C>>>,
     in_use: Counter,
 }
 
@@ -88,7 +88,7 @@
             }),
             departure_changed_at: Cell::new(Instant::START),
             max_connections: Cell::new(usize::MAX),
-            idle: RefCell::default(),
+            idle_connections: RefCell::default(),
             in_use: Counter::default(),
         }
     }
@@ -138,19 +138,19 @@
     }
 
     /// Returns the number of idle connections.
-    pub fn idle(&self) -> usize {
-        self.idle.borrow().len()
+    pub fn idle_count(&self) -> usize {
+        self.idle_connections.borrow().len()
     }
 
     /// Closes all idle connections.
     pub fn close_idle(&self) {
-        self.idle.borrow_mut().clear();
+        self.idle_connections.borrow_mut().clear();
     }
 
     /// Closes the idle connections that the replica has closed or is about to close.
     pub fn close_expired(&self) {
         let now = tokio::time::Instant::now();
-        self.idle
+        self.idle_connections
             .borrow_mut()
             .retain(|connection| connection.is_usable(now));
     }
@@ -162,19 +162,25 @@
         let mut connection = match self.lease(request, timeout).await {
             Ok(connection) => connection,
             // Without a connection, its age makes no difference to the outcome.
-            Err(event) => return failed(Outcome::of(event, ConnectionAge::New, response_use)),
+            Err(event) => {
+                return failed(Outcome::from_wire_event(
+                    event,
+                    ConnectionAge::New,
+                    response_use,
+                ));
+            }
         };
         let age = connection.age;
         let response = match exchange(&mut connection.http, request, &self.id, deadline).await {
             Ok(response) => response,
-            Err(event) => return failed(Outcome::of(event, age, response_use)),
+            Err(event) => return failed(Outcome::from_wire_event(event, age, response_use)),
         };
         let event = classify_response(&response.head, &request.request_id, &self.id, age);
         if event.leaves_connection_in_sync() {
             self.return_connection(connection, &response);
         }
         CompletedAttempt {
-            outcome: Outcome::of(event, age, response_use),
+            outcome: Outcome::from_wire_event(event, age, response_use),
             response: response
                 .may_be_forwarded(event, response_use)
                 .then_some(response),
@@ -207,7 +213,7 @@
         if in_use >= max_connections {
             return Err(WireEvent::PoolExhausted);
         }
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         if !idle.is_empty() && in_use + idle.len() >= max_connections {
             idle.remove(0);
         }
@@ -217,7 +223,7 @@
     /// Takes the newest idle connection that is still usable and has not carried this request.
     fn take_idle(&self, request: &ReplicaRequest) -> Option<IdleConnection<C>> {
         let now = tokio::time::Instant::now();
-        let mut idle = self.idle.borrow_mut();
+        let mut idle = self.idle_connections.borrow_mut();
         loop {
             let newest = idle
                 .iter()
@@ -248,7 +254,7 @@
             return;
         }
         if let Some(connection) = connection.into_idle(&response.head) {
-            self.idle.borrow_mut().push(connection);
+            self.idle_connections.borrow_mut().push(connection);
         }
     }
 }
--- a/crates/linenthread-dataplane/src/replica_table.rs
+++ b/crates/linenthread-dataplane/src/replica_table.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns the number of replicas that have not departed.
-    pub(crate) fn available(&self) -> usize {
+    pub(crate) fn available_count(&self) -> usize {
         self.by_id
             .values()
             .filter(|pool| !pool.status().departed)
--- a/crates/linenthread-dataplane/src/server.rs
+++ b/crates/linenthread-dataplane/src/server.rs
@@ -44,7 +44,7 @@
         let readable = tokio::select! {
             biased;
             readable = http.wait_for_data(limits.idle_timeout) => readable,
-            () = closing.closing() => return,
+            () = closing.wait_for_closing() => return,
         };
         if readable.is_err() {
             return;
--- a/crates/linenthread-dataplane/src/shutdown.rs
+++ b/crates/linenthread-dataplane/src/shutdown.rs
@@ -42,7 +42,7 @@
 
 impl ClosingWatch {
     /// Returns once no new connections may be accepted.
-    pub async fn closing(&mut self) {
+    pub async fn wait_for_closing(&mut self) {
         // An error means that the sender was dropped: the process is exiting.
         let _ = self.0.wait_for(|is_closing| *is_closing).await;
     }
--- a/crates/linenthread-dataplane/src/usage_counter.rs
+++ b/crates/linenthread-dataplane/src/usage_counter.rs
@@ -71,7 +71,7 @@
         match self.clock.offset() {
             Some(offset) => {
                 let moment = offset.wall_time(started_at);
-                let window = WindowNumber::of(moment, self.window_length);
+                let window = WindowNumber::containing(moment, self.window_length);
                 self.count(window, tenant, requests);
             }
             None if self.unassigned.len() < MAX_UNASSIGNED => self.unassigned.push(Unassigned {
@@ -114,7 +114,7 @@
     }
 
     /// Returns all counts and marks them as sent.
-    pub fn all(&mut self) -> Vec<WindowCounts> {
+    pub fn take_all(&mut self) -> Vec<WindowCounts> {
         self.take(|_| true)
     }
 
--- a/crates/linenthread-dataplane/src/usage_rule.rs
+++ b/crates/linenthread-dataplane/src/usage_rule.rs
@@ -13,12 +13,12 @@
 
 impl UsageRule {
     /// The rule in force.
-    pub const IN_FORCE: UsageRule = UsageRule::OncePerRequest;
+    pub const CURRENT: UsageRule = UsageRule::OncePerRequest;
 }
 
 /// Returns how many requests to count for an attempt that ended in `send_state`. `earlier` is the number of attempts
 /// of the same request that have already ended and may have run.
-pub fn requests_started(rule: UsageRule, send_state: SendState, earlier: usize) -> u64 {
+pub fn requests_to_count(rule: UsageRule, send_state: SendState, earlier: usize) -> u64 {
     let is_counted = match rule {
         UsageRule::OncePerRequest => earlier == 0,
         UsageRule::OncePerAttempt => true,
--- a/crates/linenthread-dataplane/tests/lost_control.rs
+++ b/crates/linenthread-dataplane/tests/lost_control.rs
@@ -30,7 +30,7 @@
         });
         plane.apply_configuration(configuration(1, clients).as_bytes());
         if let Some(elapsed_ms) = elapsed_ms {
-            plane.note_control_contact();
+            plane.record_control_contact();
             tokio::time::sleep(Duration::from_millis(elapsed_ms)).await;
         }
         Client::connect(plane).status(path, KEY).await
@@ -74,7 +74,7 @@
         plane.apply_configuration(configuration(1, Some(ONE_TENANT)).as_bytes());
         let mut client = Client::connect(plane.clone());
         let before = client.status("/closed/x", KEY).await;
-        plane.note_control_contact();
+        plane.record_control_contact();
         [before, client.status("/closed/x", KEY).await]
     });
     assert_eq!(statuses, [503, 200]);
--- a/crates/linenthread-dataplane/tests/outcome.rs
+++ b/crates/linenthread-dataplane/tests/outcome.rs
@@ -57,7 +57,7 @@
     send_state: SendState,
 ) {
     for (age, attempt_outcome) in [(ConnectionAge::New, new), (ConnectionAge::Reused, reused)] {
-        let outcome = Outcome::of(event, age, ResponseUse::Forwarded);
+        let outcome = Outcome::from_wire_event(event, age, ResponseUse::Forwarded);
         assert_eq!(
             outcome,
             Outcome {
@@ -77,7 +77,7 @@
                 let Outcome {
                     attempt_outcome,
                     send_state,
-                } = Outcome::of(event, age, response_use);
+                } = Outcome::from_wire_event(event, age, response_use);
                 assert_eq!(
                     attempt_outcome.never_ran(),
                     send_state != SendState::MayHaveRun,
--- a/crates/linenthread-dataplane/tests/pool.rs
+++ b/crates/linenthread-dataplane/tests/pool.rs
@@ -174,7 +174,7 @@
         &fixture.call("b").await,
         AttemptOutcome::Error
     ));
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -190,13 +190,13 @@
         &fixture.call("fresh").await,
         AttemptOutcome::Error
     ));
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
     fixture.call("a").await;
     assert!(may_have_run(
         &fixture.call("b").await,
         AttemptOutcome::Error
     ));
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -210,7 +210,7 @@
         &fixture.pool.call(&request, ATTEMPT_TIMEOUT).await,
         AttemptOutcome::TimedOut
     ));
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
     tokio::time::sleep(ATTEMPT_TIMEOUT).await;
     assert_eq!(
         fixture
@@ -234,7 +234,7 @@
         vec![vec![(1, response("b", "3"))]],
     ]);
     assert_eq!(fixture.body("a").await.unwrap(), b"1");
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
     assert_eq!(fixture.body("b").await.unwrap(), b"3");
 }
 
@@ -243,7 +243,7 @@
     let idle = vec![(1, response("a", "1")), (20, response("b", "2"))];
     let fixture = fixture(vec![vec![idle], vec![vec![(1, response("b", "3"))]]]);
     fixture.call("a").await;
-    assert_eq!(fixture.pool.idle(), 1);
+    assert_eq!(fixture.pool.idle_count(), 1);
     tokio::time::sleep(ATTEMPT_TIMEOUT).await;
     assert_eq!(fixture.body("b").await.unwrap(), b"3");
     assert_eq!(fixture.script.opened.get(), 2);
@@ -258,7 +258,7 @@
     fixture.call("a").await;
     tokio::time::sleep(ATTEMPT_TIMEOUT).await;
     fixture.pool.close_expired();
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
     assert_eq!(fixture.body("b").await.unwrap(), b"2");
 }
 
@@ -297,7 +297,7 @@
                 may_have_run(&fixture.call("a").await, AttemptOutcome::Error),
                 "{length}"
             );
-            assert_eq!(fixture.pool.idle(), 0);
+            assert_eq!(fixture.pool.idle_count(), 0);
         }
     }
 }
@@ -310,7 +310,7 @@
         &fixture.call("a").await,
         AttemptOutcome::TimedOut
     ));
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -367,7 +367,7 @@
         &fixture.call("c").await,
         AttemptOutcome::Error
     ));
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
 }
 
 /// A repeated rejection has the same id as the response to the next attempt, so the two attempts must not share a
@@ -386,7 +386,7 @@
             .send_state,
         SendState::Rejected
     );
-    assert_eq!(fixture.pool.idle(), 1);
+    assert_eq!(fixture.pool.idle_count(), 1);
     assert_eq!(
         fixture
             .pool
@@ -412,7 +412,7 @@
             send_state: SendState::Rejected
         }
     );
-    assert_eq!(fixture.pool.idle(), 0);
+    assert_eq!(fixture.pool.idle_count(), 0);
 }
 
 #[tokio::test(start_paused = true)]
@@ -423,7 +423,7 @@
     let request = request("a");
     for expected_idle in [1, 2, 2] {
         fixture.pool.call(&request, ATTEMPT_TIMEOUT).await;
-        assert_eq!(fixture.pool.idle(), expected_idle);
+        assert_eq!(fixture.pool.idle_count(), expected_idle);
     }
     assert_eq!(fixture.script.opened.get(), 3);
 }
--- a/crates/linenthread-dataplane/tests/server.rs
+++ b/crates/linenthread-dataplane/tests/server.rs
@@ -365,7 +365,7 @@
         let mut left = Vec::new();
         for _ in 0..3 {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            plane.expire();
+            plane.expire_retry_quota();
             left.push(plane.retry_quota().retries_per_window);
         }
         left
--- a/crates/linenthread-dataplane/tests/usage.rs
+++ b/crates/linenthread-dataplane/tests/usage.rs
@@ -125,7 +125,7 @@
 
 /// Returns the counts of an ingress node as (window, tenant, requests).
 fn usage(plane: &DataPlane<Network>) -> Vec<(u64, String, u64)> {
-    let counts = plane.all_usage().into_iter().flat_map(|counts| {
+    let counts = plane.take_all_usage().into_iter().flat_map(|counts| {
         let window = counts.window;
         counts
             .tenants
--- a/crates/linenthread-dataplane/tests/usage_counter.rs
+++ b/crates/linenthread-dataplane/tests/usage_counter.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use linenthread_dataplane::outcome::SendState;
-use linenthread_dataplane::{UsageCounter, UsageRule, requests_started};
+use linenthread_dataplane::{UsageCounter, UsageRule, requests_to_count};
 use linenthread_messages::{TenantCount, WindowCounts};
 use linenthread_time::{Instant, WallTime, WindowLength};
 use yare::parameterized;
@@ -63,7 +63,7 @@
 fn a_request_counts_in_the_window_in_which_it_started(started_at: Instant, expected: u64) {
     let mut counter = synchronized();
     counter.record(&tenant("a"), started_at, 1);
-    assert_eq!(flatten(counter.all()), counts(&[(expected, "a", 1)]));
+    assert_eq!(flatten(counter.take_all()), counts(&[(expected, "a", 1)]));
 }
 
 #[test]
@@ -82,7 +82,7 @@
     assert_eq!(flatten(counter.take_changed()), counts(&[(100, "b", 3)]));
     counter.record(&a, at(101), 1);
     let all = counts(&[(100, "a", 1), (100, "b", 3), (101, "a", 2)]);
-    assert_eq!(flatten(counter.all()), all);
+    assert_eq!(flatten(counter.take_all()), all);
     assert!(counter.take_changed().is_empty());
 }
 
@@ -91,7 +91,7 @@
     let mut counter = counter();
     counter.record(&tenant("a"), at(100), 1);
     counter.record(&tenant("a"), at(101), 1);
-    assert!(counter.all().is_empty());
+    assert!(counter.take_all().is_empty());
     observe(&mut counter);
     let expected = counts(&[(100, "a", 1), (101, "a", 1)]);
     assert_eq!(flatten(counter.take_changed()), expected);
@@ -104,7 +104,7 @@
     (0..4_100).for_each(|_| counter.record(&tenant("a"), at(100), 1));
     assert_eq!(counter.take_dropped(), 4);
     observe(&mut counter);
-    assert_eq!(flatten(counter.all()), counts(&[(100, "a", 4_096)]));
+    assert_eq!(flatten(counter.take_all()), counts(&[(100, "a", 4_096)]));
     assert_eq!(counter.take_dropped(), 0);
 }
 
@@ -120,7 +120,11 @@
     (102..117).for_each(|window| counter.record(&a, at(window), 1));
     assert_eq!(counter.take_dropped(), 0);
     let kept = |counter: &mut UsageCounter| -> Vec<u64> {
-        counter.all().iter().map(|counts| counts.window).collect()
+        counter
+            .take_all()
+            .iter()
+            .map(|counts| counts.window)
+            .collect()
     };
     counter.record(&a, at(117), 1);
     assert_eq!(counter.take_dropped(), 3);
@@ -146,7 +150,7 @@
     once_per_request: u64,
     once_per_attempt: u64,
 ) {
-    let started = |rule| requests_started(rule, send_state, earlier);
+    let started = |rule| requests_to_count(rule, send_state, earlier);
     assert_eq!(started(UsageRule::OncePerRequest), once_per_request);
     assert_eq!(started(UsageRule::OncePerAttempt), once_per_attempt);
 }
--- a/crates/linenthread-fleet/src/storage/mod.rs
+++ b/crates/linenthread-fleet/src/storage/mod.rs
@@ -181,7 +181,7 @@
     /// Reports whether the log is long enough to be compacted.
     pub(crate) fn needs_compaction(&self, applied: u64) -> bool {
         let count = applied.saturating_sub(self.snapshot_index());
-        count >= COMPACT_AFTER_ENTRIES || count > 0 && self.log.bytes() > COMPACT_ABOVE_BYTES
+        count >= COMPACT_AFTER_ENTRIES || count > 0 && self.log.file_bytes() > COMPACT_ABOVE_BYTES
     }
 
     /// Replaces the entries up to `applied`, the last applied index, with a snapshot of `state`.
--- a/crates/linenthread-messages/src/agreement.rs
+++ b/crates/linenthread-messages/src/agreement.rs
@@ -245,8 +245,8 @@
     pub read_id: u64,
     /// The number of the newest decided value that the sender has.
     #[prost(uint64, tag = "2")]
-    pub decided: u64,
+    pub decided_number: u64,
     /// The sender has accepted a value in the next instance.
     #[prost(bool, tag = "3")]
-    pub pending: bool,
+    pub has_undecided_value: bool,
 }
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -219,12 +219,12 @@
     pub control_addresses: Vec<String>,
     /// The value was confirmed to be the newest at some time since the session began.
     #[prost(bool, tag = "7")]
-    pub confirmed: bool,
+    pub value_confirmed: bool,
     /// The control node has been in contact with a majority for longer than the timeout of replicas. Each running
     /// replica has sent a heartbeat since, so one that a complete update omits does not run. If not set, heartbeats of
     /// some replicas may not have reached this node yet, and a complete update removes no replica.
     #[prost(bool, tag = "8")]
-    pub registry_settled: bool,
+    pub registry_complete: bool,
 }
 
 /// From a control node to another one: the state of replicas, and the sender's sessions with ingress nodes.
--- a/crates/linenthread-messages/tests/golden.rs
+++ b/crates/linenthread-messages/tests/golden.rs
@@ -174,8 +174,8 @@
         replicas: vec![replica("replica-1"), replica("replica-2")],
         value: Some(value()),
         control_addresses: vec!["10.0.0.1:7100".to_owned(), "10.0.0.2:7200".to_owned()],
-        confirmed: true,
-        registry_settled: true,
+        value_confirmed: true,
+        registry_complete: true,
     };
     let control_update = ControlUpdate {
         replicas: vec![replica("replica-3")],
@@ -273,8 +273,8 @@
             "read_reply",
             PeerMessage::ReadReply(ReadReply {
                 read_id: 96,
-                decided: 70_008,
-                pending: true,
+                decided_number: 70_008,
+                has_undecided_value: true,
             }),
         ),
         (
--- a/crates/linenthread-node/src/control_client/session.rs
+++ b/crates/linenthread-node/src/control_client/session.rs
@@ -99,7 +99,7 @@
         let stream = peer_connection::connect(peer, CONNECT_TIMEOUT).await?;
         let (outbox, outgoing) = mpsc::channel(peer_connection::MAX_QUEUED_MESSAGES);
         let _ = outbox.try_send(PeerMessage::Hello(self.hello()));
-        let _ = self.send_usage(&outbox, self.client.plane.all_usage());
+        let _ = self.send_usage(&outbox, self.client.plane.take_all_usage());
         self.last_received_at.set(clock::now());
         let name = peer.to_string();
         let receive = |message| {
@@ -169,7 +169,7 @@
 
     /// Sends the usage counts that have increased since they were last sent.
     fn send_changed_usage(&self, outbox: &mpsc::Sender<PeerMessage>) -> Result<(), QueueFull> {
-        self.send_usage(outbox, self.client.plane.changed_usage())
+        self.send_usage(outbox, self.client.plane.take_changed_usage())
     }
 
     /// Sends usage counts, if there are any.
@@ -250,7 +250,7 @@
     fn on_heartbeat(&self, heartbeat: &Heartbeat) {
         if heartbeat.has_quorum {
             self.heartbeats_without_quorum.set(0);
-            self.client.plane.note_control_contact();
+            self.client.plane.record_control_contact();
         } else {
             let count = self.heartbeats_without_quorum.get() + 1;
             self.heartbeats_without_quorum.set(count);
@@ -274,7 +274,7 @@
         }
         // A control node that has just started may not know all replicas yet, so a replica that its update omits may
         // still run.
-        let scope = if update.complete && update.registry_settled {
+        let scope = if update.complete && update.registry_complete {
             UpdateScope::Complete
         } else {
             UpdateScope::Changes
@@ -283,7 +283,7 @@
         if let Some(value) = update.value {
             plane.apply_configuration(&value.document);
         }
-        if update.confirmed {
+        if update.value_confirmed {
             plane.confirm_configuration();
         }
     }
--- a/crates/linenthread-node/src/ingress.rs
+++ b/crates/linenthread-node/src/ingress.rs
@@ -112,7 +112,7 @@
     let mut closing = plane.watch_closing();
     loop {
         let accepted = tokio::select! {
-            () = closing.closing() => return,
+            () = closing.wait_for_closing() => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
@@ -172,7 +172,7 @@
 async fn expire(plane: Rc<DataPlane>) {
     loop {
         tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
-        plane.expire();
+        plane.expire_retry_quota();
     }
 }
 
--- a/crates/linenthread-node/tests/usage_updates.rs
+++ b/crates/linenthread-node/tests/usage_updates.rs
@@ -78,8 +78,8 @@
         change_log_id: 7,
         change_log_offset: 1,
         complete: true,
-        registry_settled: true,
-        confirmed: true,
+        registry_complete: true,
+        value_confirmed: true,
         replicas: vec![Replica {
             id: "r".into(),
             backend: "s".into(),
--- a/crates/linenthread-service/src/migrate.rs
+++ b/crates/linenthread-service/src/migrate.rs
@@ -66,7 +66,7 @@
     let layout = &old.coordinator.layout;
     let groups = layout.replica_groups;
     let replication_factor = layout.replication_factor.max(1);
-    if replication_factor == 1 && !old.coordinator.reports_queue {
+    if replication_factor == 1 && !old.coordinator.reports_queue_depth {
         return Ok(None);
     }
     ensure!(
--- a/crates/linenthread-simulation/src/system/disk.rs
+++ b/crates/linenthread-simulation/src/system/disk.rs
@@ -90,7 +90,7 @@
     }
 
     pub(super) fn log_bytes(&self) -> u64 {
-        self.log.as_ref().map_or(0, StateLog::bytes)
+        self.log.as_ref().map_or(0, StateLog::file_bytes)
     }
 
     /// Bytes of the durable state after compaction.
--- a/crates/linenthread-simulation/src/system/ingress_node.rs
+++ b/crates/linenthread-simulation/src/system/ingress_node.rs
@@ -209,7 +209,7 @@
     fn on_update(&mut self, update: IngressUpdate) -> Result<(), OlderRevision> {
         self.change_log_id = update.change_log_id;
         self.change_log_offset = ChangeLogOffset::new(update.change_log_offset);
-        self.confirmed |= update.confirmed;
+        self.confirmed |= update.value_confirmed;
         let Some(value) = update.value else {
             return Ok(());
         };
--- a/crates/linenthread-simulation/src/system/usage.rs
+++ b/crates/linenthread-simulation/src/system/usage.rs
@@ -65,7 +65,7 @@
             tenants: TENANTS.into_iter().map(Rc::from).collect(),
             truth: BTreeMap::new(),
             disturbed_at: START,
-            next_due: WindowNumber::of(true_time(START), window_length),
+            next_due: WindowNumber::containing(true_time(START), window_length),
             caller_loss: None,
             faults: 0,
         }
@@ -103,7 +103,7 @@
 
     /// Replicas truly began so many requests of a tenant at this moment.
     pub(super) fn add_truth(&mut self, tenant: &str, at: Instant, requests: u64) {
-        let window = WindowNumber::of(true_time(at), self.window_length);
+        let window = WindowNumber::containing(true_time(at), self.window_length);
         let tenants = self.truth.entry(window).or_default();
         *tenants.entry(tenant.to_owned()).or_default() += requests;
     }
--- a/crates/linenthread-simulation/src/system/usage_traffic.rs
+++ b/crates/linenthread-simulation/src/system/usage_traffic.rs
@@ -42,7 +42,7 @@
 
     /// Sends all counts that are kept, at the start of a session.
     pub(super) fn send_all_usage(&mut self, index: usize) {
-        let windows = self.ingress.nodes[index].counter.all();
+        let windows = self.ingress.nodes[index].counter.take_all();
         self.send_usage(index, windows);
     }
 
--- a/crates/linenthread-store/src/log.rs
+++ b/crates/linenthread-store/src/log.rs
@@ -199,7 +199,7 @@
     }
 
     /// Returns the length of the log's file in bytes, including those that are not written yet.
-    pub fn bytes(&self) -> u64 {
+    pub fn file_bytes(&self) -> u64 {
         self.file_bytes
     }
 
--- a/crates/linenthread-store/tests/crashes.rs
+++ b/crates/linenthread-store/tests/crashes.rs
@@ -90,7 +90,7 @@
             log.files().syncs_until_failure = Some(random_below(&mut self.random, 4));
         }
         if self.random.rand_range(0..4) == 0 {
-            let bytes = usize::try_from(log.bytes()).expect("a short log");
+            let bytes = usize::try_from(log.file_bytes()).expect("a short log");
             log.files().capacity = Some(bytes + random_below(&mut self.random, 600));
         }
     }
@@ -173,7 +173,7 @@
             log.append(data).unwrap();
             log.sync().unwrap();
         }
-        let last = log.bytes() - (25 + records[11].len()) as u64;
+        let last = log.file_bytes() - (25 + records[11].len()) as u64;
         let mut disk = log.into_files();
         let (file, at) = disk.flip_bit(&mut random).unwrap();
         match Log::open(disk) {
--- a/crates/linenthread-terms/tests/settings.rs
+++ b/crates/linenthread-terms/tests/settings.rs
@@ -59,8 +59,8 @@
             budget_multiple: 2.5,
             window: 8_000,
         },
-        reports_queue: true,
-        short_queues: false,
+        reports_queue_depth: true,
+        bounded_queues: false,
         drain_grace: 6_000,
         retry_budget: Some(RetryBudget {
             reserve: 4.0,
@@ -84,7 +84,7 @@
     let with = |telemetry: Value| {
         let mut changed = settings();
         changed["telemetry"] = telemetry;
-        coordinator_config(&changed).map(|config| config.reports_queue)
+        coordinator_config(&changed).map(|config| config.reports_queue_depth)
     };
     assert!(!with(json!({"names": [], "source": "none"})).unwrap());
     assert!(!with(json!({"names": ["util"], "source": "answers"})).unwrap());
--- a/crates/linenthread-time/src/window.rs
+++ b/crates/linenthread-time/src/window.rs
@@ -37,7 +37,7 @@
     }
 
     /// Returns the window that contains `moment`.
-    pub fn of(moment: WallTime, length: WindowLength) -> WindowNumber {
+    pub fn containing(moment: WallTime, length: WindowLength) -> WindowNumber {
         WindowNumber(moment.as_millis() / length.as_millis())
     }
 
