--- a/crates/linenthread-control/src/address_book.rs
+++ b/crates/linenthread-control/src/address_book.rs
@@ -57,9 +57,9 @@
 }
 
 impl AddressBook {
-    pub(crate) fn new(own: String, bootstrap: &[String], now: Instant) -> AddressBook {
+    pub(crate) fn new(own_address: String, bootstrap: &[String], now: Instant) -> AddressBook {
         let mut addresses = AddressBook {
-            own_address: own,
+            own_address,
             bootstrap: Vec::new(),
             started_at: now,
             known: BTreeMap::new(),
--- a/crates/linenthread-control/src/control_node/usage.rs
+++ b/crates/linenthread-control/src/control_node/usage.rs
@@ -79,11 +79,11 @@
         if let Some(newest) = self.register.newest_usage_window() {
             self.usage_ledger.close_windows(newest);
         }
-        let Some(tenure) = self.usage_lease(now) else {
+        let Some(active_lease) = self.usage_lease(now) else {
             return;
         };
         self.propose_usage_report(now, effects);
-        self.call_platform(now, tenure, effects);
+        self.call_platform(now, active_lease, effects);
     }
 
     /// Returns the lease epoch and expiry under which this node may report usage now; `None` if it may not.
@@ -166,9 +166,14 @@
         self.usage_duty.undelivered_reports(reports).count()
     }
 
-    fn call_platform(&mut self, now: Instant, tenure: ActiveLease, effects: &mut Vec<Effect>) {
+    fn call_platform(
+        &mut self,
+        now: Instant,
+        active_lease: ActiveLease,
+        effects: &mut Vec<Effect>,
+    ) {
         let reports = decided_reports(&self.register);
-        if let Some(call) = self.usage_duty.next_call(now, tenure, reports) {
+        if let Some(call) = self.usage_duty.next_call(now, active_lease, reports) {
             effects.push(Effect::CallPlatform(call));
         }
     }
--- a/crates/linenthread-dataplane/src/pool.rs
+++ b/crates/linenthread-dataplane/src/pool.rs
@@ -62,7 +62,7 @@
     connector: C,
     status: Cell<ReplicaStatus>,
     /// When the status last changed.
-    departure_changed_at: Cell<Instant>,
+    status_changed_at: Cell<Instant>,
     max_connections: Cell<usize>,
     idle_connections: RefCell<Vec<IdleConnection<C>>>,
     in_use: Counter,
@@ -86,7 +86,7 @@
                 draining: replica.draining,
                 departed: replica.timed_out_or_ended,
             }),
-            departure_changed_at: Cell::new(Instant::START),
+            status_changed_at: Cell::new(Instant::START),
             max_connections: Cell::new(usize::MAX),
             idle_connections: RefCell::default(),
             in_use: Counter::default(),
@@ -116,7 +116,7 @@
     /// Sets the status from an update that names the replica.
     pub fn set_status(&self, status: ReplicaStatus) {
         self.status.set(status);
-        self.departure_changed_at.set(clock::now());
+        self.status_changed_at.set(clock::now());
     }
 
     /// Sets the address from an update that names the replica. The former address gets no new requests, and
@@ -129,7 +129,7 @@
 
     /// Reports whether the replica departed so long ago that no update names it any more.
     pub fn is_past_retention(&self, now: Instant) -> bool {
-        self.status().departed && now > self.departure_changed_at.get() + DEPARTED_RETENTION
+        self.status().departed && now > self.status_changed_at.get() + DEPARTED_RETENTION
     }
 
     /// Limits the connections of this process to the replica.
