--- a/crates/linenthread-control/src/replica_registry.rs
+++ b/crates/linenthread-control/src/replica_registry.rs
@@ -229,7 +229,7 @@
         self.is_complete
     }
 
-    /// Records whether the registry is settled; returns whether it has just become so.
+    /// Records whether the registry is complete; returns whether it has just become so.
     pub(crate) fn set_complete(&mut self, is_complete: bool) -> bool {
         let was_complete = std::mem::replace(&mut self.is_complete, is_complete);
         is_complete && !was_complete
--- a/crates/linenthread-control/src/retry_budget.rs
+++ b/crates/linenthread-control/src/retry_budget.rs
@@ -57,7 +57,8 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget of `allowance` retries in any `window`. Nothing is granted before [`RetryBudget::begin`].
+    /// Creates a budget of `allowance` retries in any `window`. Nothing is granted before
+    /// [`RetryBudget::start_granting`].
     pub fn new(allowance: f64, window: Duration) -> RetryBudget {
         RetryBudget {
             allowance,
--- a/crates/linenthread-core/src/policy/capacity.rs
+++ b/crates/linenthread-core/src/policy/capacity.rs
@@ -56,7 +56,7 @@
             .max(one_core)
             .max(observed);
         // Based on attempts sent rather than on responses, since a saturated replica responds to few. The attempt count
-        // of the hedge share decays with SHORT_TERM, which makes it a rate.
+        // of the hedge share decays with SHORT_TIME_CONSTANT, which makes it a rate.
         fleet.sent_per_window =
             fleet.hedge_share.attempts() * window / SHORT_TIME_CONSTANT / ready_count;
     }
--- a/crates/linenthread-core/src/policy/health_probe.rs
+++ b/crates/linenthread-core/src/policy/health_probe.rs
@@ -23,7 +23,7 @@
 
 /// Replicas are probed before a query's first attempts if the time constant of their observations exceeds this.
 ///
-/// Unit: multiple of [`SHORT_TERM`]. Reason: observations are then too old to detect an unhealthy replica.
+/// Unit: multiple of [`SHORT_TIME_CONSTANT`]. Reason: observations are then too old to detect an unhealthy replica.
 const SPARSE_OBSERVATION_FACTOR: f64 = 1.5;
 
 /// Where replicas do not report their queues: the minimum share of queries that probe first.
--- a/crates/linenthread-core/src/policy/windows.rs
+++ b/crates/linenthread-core/src/policy/windows.rs
@@ -19,7 +19,7 @@
 
 /// The decay time constant of values compared over a longer time, such as the queries of each customer.
 ///
-/// Unit: 0.1 ms (9 s). Reason: a single customer or index has too few queries within `SHORT_TERM`.
+/// Unit: 0.1 ms (9 s). Reason: a single customer or index has too few queries within `SHORT_TIME_CONSTANT`.
 pub(super) const LONG_TIME_CONSTANT: f64 = 3.0 * SHORT_TIME_CONSTANT;
 
 /// The decay time constant of crashes and connection failures.
--- a/crates/linenthread-dataplane/src/data_plane.rs
+++ b/crates/linenthread-dataplane/src/data_plane.rs
@@ -307,7 +307,7 @@
     }
 
     /// Returns the usage counts that have risen since they were last returned by this method or by
-    /// [`DataPlane::all_usage`], and marks them as sent.
+    /// [`DataPlane::take_all_usage`], and marks them as sent.
     pub fn take_changed_usage(&self) -> Vec<WindowCounts> {
         self.usage.borrow_mut().take_changed()
     }
--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -7,7 +7,7 @@
 //!   [`AttemptOutcome::never_ran`];
 //! - by the dispatcher, which asks [`may_retry`] about the [`SendState`] before it passes an attempt to a pool.
 //!
-//! [`Outcome::of`] derives both from the same observation, and they agree for every observation.
+//! [`Outcome::from_wire_event`] derives both from the same observation, and they agree for every observation.
 
 use linenthread_config::Mode;
 use linenthread_core::interface::AttemptOutcome;
--- a/crates/linenthread-dataplane/src/usage_rule.rs
+++ b/crates/linenthread-dataplane/src/usage_rule.rs
@@ -12,7 +12,7 @@
 }
 
 impl UsageRule {
-    /// The rule in force.
+    /// The rule that this version applies.
     pub const CURRENT: UsageRule = UsageRule::OncePerRequest;
 }
 
--- a/crates/linenthread-messages/src/sessions.rs
+++ b/crates/linenthread-messages/src/sessions.rs
@@ -204,7 +204,7 @@
     /// The offset in the change log after this update.
     #[prost(uint64, tag = "2")]
     pub change_log_offset: u64,
-    /// The update lists all replicas that the sender knows. If `registry_settled` is set, an omitted replica does not
+    /// The update lists all replicas that the sender knows. If `registry_complete` is set, an omitted replica does not
     /// run.
     #[prost(bool, tag = "3")]
     pub complete: bool,
