--- a/crates/linenthread-control/src/lib.rs
+++ b/crates/linenthread-control/src/lib.rs
@@ -24,7 +24,7 @@
 //! | usage reports | `usage_ledger`, `usage_duty`, `usage_body`, `platform_call` | `usage` |
 //! | voters | `voting_state`, [`reconfiguration`] | `voters` |
 //! | graceful shutdown | [`graceful_shutdown`] | `shutdown` |
-//! | durable state | `own_durability`, `state_log` | `durability` |
+//! | durable state | `local_durability`, `state_log` | `durability` |
 
 mod address_book;
 mod agreed_time;
@@ -38,8 +38,8 @@
 mod ids;
 mod ingress_nodes;
 mod ingress_peer;
+mod local_durability;
 mod membership;
-mod own_durability;
 mod peer_heartbeat;
 mod peer_hello;
 mod pending_drains;
