--- a/crates/linenthread-dataplane/src/outcome.rs
+++ b/crates/linenthread-dataplane/src/outcome.rs
@@ -7,7 +7,7 @@
 //!   [`AttemptOutcome::never_ran`];
 //! - by the dispatcher, which calls [`may_retry`] with the [`SendState`] before it passes an attempt to a pool.
 //!
-//! [`Outcome::of`] derives both from the same observation, and they agree for every observation.
+//! [`Outcome::from_wire_event`] derives both from the same observation, and they agree for every observation.
 
 use linenthread_config::Mode;
 use linenthread_core::interface::AttemptOutcome;
@@ -105,7 +105,11 @@
 
 impl Outcome {
     /// Derives the outcome of an attempt from an observation on a connection of this age.
-    pub fn of(event: WireEvent, age: ConnectionAge, response_use: ResponseUse) -> Outcome {
+    pub fn from_wire_event(
+        event: WireEvent,
+        age: ConnectionAge,
+        response_use: ResponseUse,
+    ) -> Outcome {
         Outcome {
             attempt_outcome: attempt_outcome(event, age, response_use),
             send_state: send_state(event),
