--- a/crates/linenthread-demo/src/client.rs
+++ b/crates/linenthread-demo/src/client.rs
@@ -37,7 +37,7 @@
 
 impl CallOutcome {
     /// Reports whether the call has a response with this status.
-    pub fn is(&self, status: u16) -> bool {
+    pub fn has_status(&self, status: u16) -> bool {
         self.status == Some(status)
     }
 
@@ -49,7 +49,7 @@
 
     /// Reports whether the response has this status or isn't final.
     pub(crate) fn is_or_not_final(&self, status: u16) -> bool {
-        self.is(status) || !self.is_final()
+        self.has_status(status) || !self.is_final()
     }
 
     /// Returns the revision in the body, if it is a configuration.
@@ -93,7 +93,7 @@
 pub(crate) fn members_at(peer: SocketAddr) -> Option<MembersStatus> {
     let outcome = call(peer, &Request::get(MEMBERS_PATH), CALL_TIMEOUT);
     let members = serde_json::from_slice(&outcome.body).ok();
-    members.filter(|_| outcome.is(OK))
+    members.filter(|_| outcome.has_status(OK))
 }
 
 /// Reports whether a control node lists a replica as draining.
--- a/crates/linenthread-demo/src/order.rs
+++ b/crates/linenthread-demo/src/order.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
     /// The revision that the order replaces; 0 for none.
-    pub base: u64,
+    pub base_revision: u64,
     /// The revision of the configuration.
     pub revision: u64,
     /// The configuration as JSON.
@@ -75,7 +75,7 @@
 
     fn with_document(base: u64, revision: u64, document: &Value) -> Order {
         Order {
-            base,
+            base_revision: base,
             revision,
             document: document.to_string().into_bytes(),
         }
@@ -88,7 +88,7 @@
 
     /// Returns the headers of [`request`](Order::request).
     pub(crate) fn headers(&self) -> [(&'static str, String); 1] {
-        [(BASE_REVISION_HEADER, self.base.to_string())]
+        [(BASE_REVISION_HEADER, self.base_revision.to_string())]
     }
 
     /// Returns the call that replaces the configuration, with these [`headers`](Order::headers).
--- a/crates/linenthread-demo/src/replica/mod.rs
+++ b/crates/linenthread-demo/src/replica/mod.rs
@@ -60,12 +60,12 @@
     }
 
     /// Returns all requests that it has run so far, in the order in which it received them.
-    pub fn received(&self) -> Vec<ReceivedRequest> {
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         self.state.received()
     }
 
     /// Returns the number of responses with a fault so far, by the name of the fault.
-    pub fn faults(&self) -> BTreeMap<&'static str, usize> {
+    pub fn fault_counts(&self) -> BTreeMap<&'static str, usize> {
         self.state.faults()
     }
 
--- a/crates/linenthread-demo/src/scenarios/catch_up.rs
+++ b/crates/linenthread-demo/src/scenarios/catch_up.rs
@@ -82,11 +82,11 @@
         let order = last.next(&SERVICES);
         let outcome = replace_at_any(running, &order, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is(OK),
+            outcome.has_status(OK),
             "an order is acknowledged with one node down",
             || describe(&outcome),
         );
-        if !outcome.is(OK) {
+        if !outcome.has_status(OK) {
             return None;
         }
         last = order;
@@ -113,7 +113,7 @@
     loop {
         let outcome = read_at(peer, CATCH_UP_TIMEOUT);
         if outcome.is_final() {
-            let is_newest = outcome.is(OK) && outcome.body == last.document;
+            let is_newest = outcome.has_status(OK) && outcome.body == last.document;
             findings.check(
                 is_newest,
                 "the first read at the restarted node returns the newest configuration",
@@ -162,7 +162,7 @@
     }
     let outcome = replace_at_any(survivors, &last.next(&SERVICES), RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(OK),
+        outcome.has_status(OK),
         "a new order is acknowledged within the bound",
         || describe(&outcome),
     );
--- a/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
+++ b/crates/linenthread-demo/src/scenarios/conflicting_orders.rs
@@ -61,10 +61,13 @@
     random: &mut Rand64,
 ) -> Option<Conflict> {
     let outcomes = send_concurrently(&cluster.control_addresses(), &orders, random);
-    let committed = outcomes.iter().filter(|outcome| outcome.is(OK)).count();
+    let committed = outcomes
+        .iter()
+        .filter(|outcome| outcome.has_status(OK))
+        .count();
     let rejected = outcomes
         .iter()
-        .filter(|outcome| outcome.is(PRECONDITION_FAILED))
+        .filter(|outcome| outcome.has_status(PRECONDITION_FAILED))
         .count();
     findings.check(
         (committed, rejected) == (1, 1),
@@ -75,7 +78,7 @@
         return None;
     }
     let [left, right] = orders;
-    let (committed, rejected) = if outcomes[0].is(OK) {
+    let (committed, rejected) = if outcomes[0].has_status(OK) {
         (left, right)
     } else {
         (right, left)
@@ -144,13 +147,13 @@
 fn check_newest(findings: &mut Findings, peer: SocketAddr, newest: &Conflict) {
     let outcome = replace_at_any(&[peer], &newest.committed, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(OK),
+        outcome.has_status(OK),
         "the newest order is acknowledged again",
         || describe(&outcome),
     );
     let outcome = replace_at_any(&[peer], &newest.rejected, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(PRECONDITION_FAILED),
+        outcome.has_status(PRECONDITION_FAILED),
         "the order in conflict with it is rejected at every node",
         || describe(&outcome),
     );
--- a/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
+++ b/crates/linenthread-demo/src/scenarios/faulty_replicas.rs
@@ -231,7 +231,7 @@
     for replica in &cluster.replicas {
         // Ids are `i-SERVICE-NUMBER`.
         let service = replica.id.split('-').nth(1).unwrap_or_default();
-        for received in replica.received() {
+        for received in replica.received_requests() {
             let key = AttemptKey {
                 service: service.to_owned(),
                 attempt: received.attempt,
@@ -264,7 +264,7 @@
         *statuses.entry(outcome.status).or_default() += 1;
     }
     let mut faults: BTreeMap<&str, usize> = BTreeMap::new();
-    for (fault, count) in cluster.replicas.iter().flat_map(Replica::faults) {
+    for (fault, count) in cluster.replicas.iter().flat_map(Replica::fault_counts) {
         *faults.entry(fault).or_default() += count;
     }
     findings.add_note(format!(
--- a/crates/linenthread-demo/src/scenarios/key_watch.rs
+++ b/crates/linenthread-demo/src/scenarios/key_watch.rs
@@ -131,12 +131,12 @@
             "the key that an order adds is served in time",
             || format!("revision {}: {status:?}", newest.revision),
         );
-        let revoked = key_of_revision(newest.base);
+        let revoked = key_of_revision(newest.base_revision);
         let status = wait_for_status(peer, &revoked, UNAUTHORIZED, apply_deadline);
         findings.check(
             status == Some(UNAUTHORIZED),
             "the key that an order revokes is refused in time",
-            || format!("revision {}: {status:?}", newest.base),
+            || format!("revision {}: {status:?}", newest.base_revision),
         );
     }
 }
--- a/crates/linenthread-demo/src/scenarios/late_retry.rs
+++ b/crates/linenthread-demo/src/scenarios/late_retry.rs
@@ -23,11 +23,11 @@
         let order = last.next(&SERVICES);
         let outcome = replace_at_any(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is(OK),
+            outcome.has_status(OK),
             "an order is acknowledged within the bound",
             || describe(&outcome),
         );
-        if !outcome.is(OK) {
+        if !outcome.has_status(OK) {
             return Ok(findings);
         }
         last = order.clone();
--- a/crates/linenthread-demo/src/scenarios/lost_quorum.rs
+++ b/crates/linenthread-demo/src/scenarios/lost_quorum.rs
@@ -97,11 +97,11 @@
 fn check_recovery(findings: &mut Findings, cluster: &mut Cluster, order: &Order) {
     let outcome = replace_at_any(&cluster.control_addresses(), order, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(OK),
+        outcome.has_status(OK),
         "the order is committed within the bound after the other nodes have resumed",
         || describe(&outcome),
     );
-    if !outcome.is(OK) {
+    if !outcome.has_status(OK) {
         add_node_states(findings, cluster, order);
     }
     let applied = ["event=configuration_applied", "revision=2"];
--- a/crates/linenthread-demo/src/scenarios/paused_node.rs
+++ b/crates/linenthread-demo/src/scenarios/paused_node.rs
@@ -51,9 +51,11 @@
     let resumes_at = Instant::now() + context.scale.pause;
     let second = first.next(&SERVICES);
     let outcome = replace_at_any(&others, &second, RECOVERY_TIMEOUT);
-    findings.check(outcome.is(OK), "the others acknowledge an order", || {
-        describe(&outcome)
-    });
+    findings.check(
+        outcome.has_status(OK),
+        "the others acknowledge an order",
+        || describe(&outcome),
+    );
     let applied = ["event=configuration_applied", "revision=2"];
     let is_applied = cluster.wait_for_line(INGRESS, &applied, RECOVERY_TIMEOUT);
     findings.check(
@@ -81,7 +83,7 @@
     );
     let outcome = replace_at_any(&[peer], &conflict, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(PRECONDITION_FAILED),
+        outcome.has_status(PRECONDITION_FAILED),
         "the resumed node rejects the conflicting order once it has caught up",
         || describe(&outcome),
     );
@@ -134,7 +136,8 @@
 ) {
     match call {
         PendingCall::Read => {
-            let is_newest = !outcome.is_final() || outcome.is(OK) && outcome.revision() == Some(2);
+            let is_newest =
+                !outcome.is_final() || outcome.has_status(OK) && outcome.revision() == Some(2);
             findings.check(
                 is_newest,
                 "a read on resuming returns the newest configuration or is unavailable",
@@ -153,7 +156,7 @@
             || format!("revision {}: {}", order.revision, describe(outcome)),
         ),
         PendingCall::Drain => {
-            let is_known = !outcome.is(OK)
+            let is_known = !outcome.has_status(OK)
                 || others
                     .iter()
                     .any(|other| is_draining_at(*other, DRAINING_REPLICA));
--- a/crates/linenthread-demo/src/scenarios/replacement.rs
+++ b/crates/linenthread-demo/src/scenarios/replacement.rs
@@ -193,7 +193,7 @@
     });
     is_known
         && cluster.wait_for_members(name, JOIN_TIMEOUT, |members| members.quorum)
-        && read_at_any(&[peer], RECOVERY_TIMEOUT).is(OK)
+        && read_at_any(&[peer], RECOVERY_TIMEOUT).has_status(OK)
 }
 
 /// Waits until the voters that `observer` reports contain a node's address, or don't if `votes` is false; returns false
--- a/crates/linenthread-demo/src/scenarios/revoked_keys.rs
+++ b/crates/linenthread-demo/src/scenarios/revoked_keys.rs
@@ -183,7 +183,7 @@
     }
     let order = Order::for_tenants(1, 2, &SERVICES, &tenants_after());
     let outcome = replace_at_any(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
-    findings.check(outcome.is(OK), "the change is acknowledged", || {
+    findings.check(outcome.has_status(OK), "the change is acknowledged", || {
         describe(&outcome)
     });
     let apply_deadline = Instant::now() + APPLY_TIMEOUT;
@@ -296,7 +296,7 @@
     let order = Order::for_tenants(2, 3, &SERVICES, &tenants);
     let outcome = replace_at_any(&cluster.control_addresses(), &order, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(BAD_REQUEST),
+        outcome.has_status(BAD_REQUEST),
         "an order in which two tenants share a key is invalid",
         || format!("{:?}", outcome.status),
     );
@@ -324,7 +324,7 @@
     let received: Vec<_> = cluster
         .replicas
         .iter()
-        .flat_map(Replica::received)
+        .flat_map(Replica::received_requests)
         .collect();
     let with_key = received.iter().filter(|request| request.has_key).count();
     findings.check(with_key == 0, "no replica gets a client's key", || {
--- a/crates/linenthread-demo/src/scenarios/setup.rs
+++ b/crates/linenthread-demo/src/scenarios/setup.rs
@@ -64,7 +64,7 @@
         })?;
     }
     let outcome = replace_at_any(&cluster.control_addresses(), first, START_TIMEOUT);
-    ensure_ready(outcome.is(OK), || {
+    ensure_ready(outcome.has_status(OK), || {
         "the first order was not acknowledged".to_owned()
     })?;
     let present = format!("present={replicas}");
@@ -144,7 +144,7 @@
         || format!("{longest_ms} ms without an acknowledgement"),
     );
     let read = read_at_any(addresses, RECOVERY_TIMEOUT);
-    let is_read = |order: &Order| read.is(OK) && read.body == order.document;
+    let is_read = |order: &Order| read.has_status(OK) && read.body == order.document;
     let reads_back = is_read(&report.last) || report.pending.as_ref().is_some_and(is_read);
     findings.check(reads_back, "acknowledged orders read back", || {
         format!(
@@ -170,7 +170,7 @@
     if let Some(pending) = &report.pending {
         let outcome = replace_at_any(addresses, pending, RECOVERY_TIMEOUT);
         findings.check(
-            outcome.is(OK),
+            outcome.has_status(OK),
             "an order without a final response is committed when sent again",
             || describe(&outcome),
         );
@@ -179,7 +179,7 @@
     let next = last.next(&SERVICES);
     let outcome = replace_at_any(addresses, &next, RECOVERY_TIMEOUT);
     findings.check(
-        outcome.is(OK),
+        outcome.has_status(OK),
         "a new order is acknowledged within the bound",
         || describe(&outcome),
     );
--- a/crates/linenthread-demo/src/scenarios/usage_reports.rs
+++ b/crates/linenthread-demo/src/scenarios/usage_reports.rs
@@ -260,15 +260,22 @@
             kinds.into_iter().collect::<Vec<_>>().join("; ")
         },
     );
-    findings.check(log.over_rate == 0, "calls stay within the rate", || {
-        format!("{} of {} too many", log.over_rate, log.received)
-    });
+    findings.check(
+        log.rate_limited_calls == 0,
+        "calls stay within the rate",
+        || {
+            format!(
+                "{} of {} too many",
+                log.rate_limited_calls, log.received_requests
+            )
+        },
+    );
     findings.add_note(format!(
         "{} calls: {} reports, {} repeats, {} refused because of their fencing token",
-        log.received,
+        log.received_requests,
         log.reports.len(),
-        log.repeats,
-        log.refused
+        log.duplicate_reports,
+        log.refused_calls
     ));
 }
 
@@ -312,7 +319,7 @@
     let mut received: Vec<_> = cluster
         .replicas
         .iter()
-        .flat_map(Replica::received)
+        .flat_map(Replica::received_requests)
         .collect();
     received.sort_by_key(|request| request.received_at);
     let mut attempts = BTreeSet::new();
--- a/crates/linenthread-fakes/src/client.rs
+++ b/crates/linenthread-fakes/src/client.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-use crate::PATIENCE;
+use crate::EVENT_TIMEOUT;
 use crate::http::read_message;
 
 /// A client connection for queries. Its methods panic if the connection fails, except `try_*` and
@@ -57,8 +57,8 @@
 impl Client {
     /// Connects to an address. Returns `None` if the connection cannot be established.
     pub fn try_connect(address: SocketAddr) -> Option<Client> {
-        let connection = TcpStream::connect_timeout(&address, PATIENCE).ok()?;
-        connection.set_read_timeout(Some(PATIENCE)).ok()?;
+        let connection = TcpStream::connect_timeout(&address, EVENT_TIMEOUT).ok()?;
+        connection.set_read_timeout(Some(EVENT_TIMEOUT)).ok()?;
         Some(Client(BufReader::new(connection)))
     }
 
@@ -76,7 +76,7 @@
         let connection = TcpStream::connect(address)
             .unwrap_or_else(|error| panic!("cannot connect to {address}: {error}"));
         connection
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(EVENT_TIMEOUT))
             .expect("the time-out is not zero");
         Client(BufReader::new(connection))
     }
@@ -116,7 +116,7 @@
         page: &Value,
     ) -> MergedResponse {
         self.send(&request_with(index, id, shards, text, page));
-        let ClientResponse { status, body, .. } = self.response().expect("a response arrives");
+        let ClientResponse { status, body, .. } = self.read_response().expect("a response arrives");
         MergedResponse {
             status,
             body: serde_json::from_str(&body).unwrap_or(Value::String(body)),
@@ -124,7 +124,7 @@
     }
 
     /// Reads the next response. Returns `None` if the connection ends without one.
-    pub fn response(&mut self) -> Option<ClientResponse> {
+    pub fn read_response(&mut self) -> Option<ClientResponse> {
         let message = read_message(&mut self.0)?;
         Some(ClientResponse {
             status: message.start_line.split(' ').nth(1)?.parse().ok()?,
@@ -138,7 +138,7 @@
     /// # Panics
     ///
     /// If the connection ends without a response.
-    pub fn status(&mut self) -> u16 {
-        self.response().expect("a response arrives").status
+    pub fn read_status(&mut self) -> u16 {
+        self.read_response().expect("a response arrives").status
     }
 }
--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -34,17 +34,17 @@
 use std::time::Duration;
 
 pub use client::{Client, ClientResponse, MergedResponse, request, request_with};
-pub use program::{IndexSettings, Service, config, config_of, program};
+pub use program::{IndexSettings, Service, config, config_with_indexes, program};
 pub use replicas::{FakeReplicas, SubRequest};
-pub use row_replicas::{Behavior, RowReplicas, Treatment};
+pub use row_replicas::{Behavior, RowReplicas, ScriptedBehavior};
 pub use service_discovery::{ServiceDiscovery, member, membership};
 
 /// The longest wait for a single event. A rig, which runs several processes, waits for a multiple of it.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Waits for the next event, and panics with `description` if none arrives within [`PATIENCE`].
 fn wait<T>(events: &Receiver<T>, description: &str) -> T {
     events
-        .recv_timeout(PATIENCE)
-        .unwrap_or_else(|_| panic!("{description} did not arrive within {PATIENCE:?}"))
+        .recv_timeout(EVENT_TIMEOUT)
+        .unwrap_or_else(|_| panic!("{description} did not arrive within {EVENT_TIMEOUT:?}"))
 }
--- a/crates/linenthread-fakes/src/platform.rs
+++ b/crates/linenthread-fakes/src/platform.rs
@@ -15,7 +15,7 @@
 pub use call_validator::{CallResponse, CallValidator, PlatformRules, ReceivedCall};
 pub use log::{AcceptedReport, ConnectionEnd, PlatformLog, PlatformViolation};
 
-use crate::PATIENCE;
+use crate::EVENT_TIMEOUT;
 use crate::http::{Message, read_message};
 use crate::loopback::{address_of, unused_loopback};
 use crate::sync::lock;
@@ -242,7 +242,7 @@
         CallResponse::Accepted => 200,
         CallResponse::Invalid => 400,
         CallResponse::FenceTooLow => 409,
-        CallResponse::TooMany => 429,
+        CallResponse::TooManyRequests => 429,
     }
 }
 
@@ -262,7 +262,7 @@
         owner: owner.to_owned(),
         fence: fence.ok_or("X-Fence-Token is not a decimal number")?,
         body: message.body.clone(),
-        at: SystemTime::UNIX_EPOCH
+        received_at: SystemTime::UNIX_EPOCH
             .elapsed()
             .expect("the time of day is after 1970"),
     })
@@ -287,7 +287,7 @@
 
 /// Waits for the first byte and leaves it unread: the system resets a connection that is closed with unread bytes.
 fn reset_at_first_byte(connection: &TcpStream) {
-    let _ = connection.set_read_timeout(Some(PATIENCE));
+    let _ = connection.set_read_timeout(Some(EVENT_TIMEOUT));
     let _ = connection.peek(&mut [0]);
 }
 
@@ -300,7 +300,7 @@
 impl CallerStream<'_> {
     fn new(connection: &TcpStream) -> CallerStream<'_> {
         // Without a time-out, the thread could run for as long as the caller keeps the connection open.
-        let _ = connection.set_read_timeout(Some(PATIENCE));
+        let _ = connection.set_read_timeout(Some(EVENT_TIMEOUT));
         CallerStream {
             connection,
             end: None,
--- a/crates/linenthread-fakes/src/platform/call_validator.rs
+++ b/crates/linenthread-fakes/src/platform/call_validator.rs
@@ -33,7 +33,7 @@
     /// Its body.
     pub body: String,
     /// When it arrived, as the time since the Unix epoch.
-    pub at: Duration,
+    pub received_at: Duration,
 }
 
 /// The response to a call.
@@ -46,7 +46,7 @@
     /// 409: a higher fencing token was received before.
     FenceTooLow,
     /// 429: the rate of calls is too high.
-    TooMany,
+    TooManyRequests,
 }
 
 /// A call with a fencing token that was not too low.
@@ -101,7 +101,7 @@
 
     /// Counts a complete request, valid or not.
     pub fn count_received(&mut self) {
-        self.log.received += 1;
+        self.log.received_requests += 1;
     }
 
     /// Records how the caller ended a connection.
@@ -132,13 +132,13 @@
     /// Handles a call: accepts its report, or refuses it.
     pub fn handle(&mut self, call: &ReceivedCall) -> CallResponse {
         if !self.observe(call) {
-            self.log.refused += 1;
+            self.log.refused_calls += 1;
             self.check_refusal(call);
             return CallResponse::FenceTooLow;
         }
-        if !self.is_within_rate(call.at) {
-            self.log.over_rate += 1;
-            return CallResponse::TooMany;
+        if !self.is_within_rate(call.received_at) {
+            self.log.rate_limited_calls += 1;
+            return CallResponse::TooManyRequests;
         }
         match Report::parse(&call.body) {
             Some(report) => {
@@ -169,10 +169,10 @@
     fn check_refusal(&mut self, call: &ReceivedCall) {
         let key = (call.owner.clone(), call.fence);
         let refusal = self.refusals.entry(key).or_insert(Refusal {
-            first_at: call.at,
+            first_at: call.received_at,
             late_calls: 0,
         });
-        if call.at.saturating_sub(refusal.first_at) > self.rules.lease {
+        if call.received_at.saturating_sub(refusal.first_at) > self.rules.lease {
             refusal.late_calls += 1;
             if refusal.late_calls > MAX_CALLS_AFTER_REFUSAL {
                 self.add_violation(PlatformViolation::RefusedFence {
@@ -185,7 +185,7 @@
 
     /// Records a violation if, within a lease, this holder made a call and another holder made one since.
     fn check_order(&mut self, call: &ReceivedCall) {
-        let lease_start = call.at.saturating_sub(self.rules.lease);
+        let lease_start = call.received_at.saturating_sub(self.rules.lease);
         self.recent_calls.retain(|recent| recent.at >= lease_start);
         let is_own = |recent: &&HolderCall| recent.owner == call.owner;
         let mut since_own = self
@@ -201,7 +201,7 @@
         }
         self.recent_calls.push(HolderCall {
             owner: call.owner.clone(),
-            at: call.at,
+            at: call.received_at,
         });
     }
 
@@ -223,7 +223,7 @@
         let Report { window, tallies } = report;
         match self.log.report(window) {
             Some(accepted) if accepted.body == call.body => {
-                self.log.repeats += 1;
+                self.log.duplicate_reports += 1;
                 return;
             }
             Some(_) => self.add_violation(PlatformViolation::DifferentReports { window }),
@@ -236,8 +236,8 @@
             fence: call.fence,
             tallies,
             body: call.body.clone(),
-            at: call.at,
-            after_window_end: window_end.and_then(|end| call.at.checked_sub(end)),
+            accepted_at: call.received_at,
+            after_window_end: window_end.and_then(|end| call.received_at.checked_sub(end)),
         });
     }
 
--- a/crates/linenthread-fakes/src/platform/log.rs
+++ b/crates/linenthread-fakes/src/platform/log.rs
@@ -18,7 +18,7 @@
     /// The body as it was sent.
     pub body: String,
     /// When it was accepted, as the time since the Unix epoch.
-    pub at: Duration,
+    pub accepted_at: Duration,
     /// How long after the end of its window it was accepted; `None` if the window had not ended.
     pub after_window_end: Option<Duration>,
 }
@@ -107,13 +107,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlatformLog {
     /// The number of complete requests that arrived, valid or not.
-    pub received: usize,
+    pub received_requests: usize,
     /// The number of calls refused because a higher fencing token had been received.
-    pub refused: usize,
+    pub refused_calls: usize,
     /// The number of calls that exceeded the rate limit.
-    pub over_rate: usize,
+    pub rate_limited_calls: usize,
     /// The number of exact repeats of accepted reports.
-    pub repeats: usize,
+    pub duplicate_reports: usize,
     /// Accepted reports, in the order in which they were accepted.
     pub reports: Vec<AcceptedReport>,
     /// Violations of the rules, in the order in which they were detected.
--- a/crates/linenthread-fakes/src/program.rs
+++ b/crates/linenthread-fakes/src/program.rs
@@ -102,7 +102,7 @@
 ///
 /// If `known` is not JSON.
 pub fn config(discovery: SocketAddr, known: &str) -> Value {
-    config_of(discovery, known, &DEFAULT_INDEXES, 2, 4)
+    config_with_indexes(discovery, known, &DEFAULT_INDEXES, 2, 4)
 }
 
 /// Returns the contents of `config.json` with these indexes, and these numbers of replica groups and shards.
@@ -110,7 +110,7 @@
 /// # Panics
 ///
 /// If `known` is not JSON.
-pub fn config_of(
+pub fn config_with_indexes(
     discovery: SocketAddr,
     known: &str,
     indexes: &[IndexSettings],
@@ -228,7 +228,7 @@
 
     /// Waits for the next log line. Returns `None` if none arrives in time or the log has ended.
     pub fn next_log_line(&self) -> Option<String> {
-        self.lines.recv_timeout(crate::PATIENCE).ok()
+        self.lines.recv_timeout(crate::EVENT_TIMEOUT).ok()
     }
 
     /// Waits for the next log line that contains this text.
--- a/crates/linenthread-fakes/src/proxy.rs
+++ b/crates/linenthread-fakes/src/proxy.rs
@@ -196,12 +196,12 @@
     }
 
     /// Sets whether bytes in one direction are read and dropped instead of forwarded.
-    pub fn silence(&self, direction: Direction, dropping: bool) {
+    pub fn set_silent(&self, direction: Direction, dropping: bool) {
         *self.state().dropping.get_mut(direction) = dropping;
     }
 
     /// Returns how many bytes were forwarded on the newest connection.
-    pub fn forwarded(&self) -> ByDirection<usize> {
+    pub fn forwarded_bytes(&self) -> ByDirection<usize> {
         self.state().forwarded
     }
 }
--- a/crates/linenthread-fakes/src/replicas.rs
+++ b/crates/linenthread-fakes/src/replicas.rs
@@ -8,7 +8,7 @@
 use std::thread::spawn;
 
 use crate::loopback::{self, duplicate};
-use crate::{PATIENCE, wait};
+use crate::{EVENT_TIMEOUT, wait};
 
 /// The frame type of sub-requests.
 const SUB_REQUESTS: u8 = b'A';
@@ -100,9 +100,9 @@
     /// # Panics
     ///
     /// If the operating system rejects the time-out of the read.
-    pub fn is_closed(&self) -> bool {
+    pub fn wait_until_closed(&self) -> bool {
         self.connection
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(EVENT_TIMEOUT))
             .expect("the time-out is not zero");
         self.connection.peek(&mut [0]).is_ok_and(|bytes| bytes == 0)
     }
@@ -158,7 +158,7 @@
     /// # Panics
     ///
     /// If none arrives in time, or a cancellation arrives instead.
-    pub fn sub_request(&self) -> SubRequest {
+    pub fn next_sub_request(&self) -> SubRequest {
         match wait(&self.events, "a sub-request") {
             Event::Received(sub_request) => sub_request,
             Event::Cancelled(id) => panic!("sub-request {id} was cancelled"),
@@ -170,7 +170,7 @@
     /// # Panics
     ///
     /// If none arrives in time, or a new sub-request arrives instead.
-    pub fn cancelled(&self) -> String {
+    pub fn next_cancelled_id(&self) -> String {
         match wait(&self.events, "a cancellation") {
             Event::Cancelled(id) => id,
             Event::Received(sub_request) => panic!("sub-request {} was received", sub_request.id),
@@ -188,7 +188,7 @@
 
     /// Returns the ids of all sub-requests and cancellations received and not yet read, the latter with the suffix
     /// ` cancelled`.
-    pub fn remaining(&self) -> Vec<String> {
+    pub fn drain_events(&self) -> Vec<String> {
         let describe = |event| match event {
             Event::Received(sub_request) => sub_request.id,
             Event::Cancelled(id) => format!("{id} cancelled"),
--- a/crates/linenthread-fakes/src/rig.rs
+++ b/crates/linenthread-fakes/src/rig.rs
@@ -105,40 +105,40 @@
     /// If a process cannot be started, or does not use a routing table in time.
     pub fn start_all(exe: &str, config: RigConfig) -> Rig {
         let mut rig = Rig::new(exe, config);
-        for process in rig.all() {
+        for process in rig.all_processes() {
             rig.start(process);
         }
-        for process in rig.all() {
+        for process in rig.all_processes() {
             rig.wait_for_log(process, TABLE_IN_USE);
         }
         rig
     }
 
     /// Returns the number of processes.
-    pub fn count(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.processes.len()
     }
 
     /// Returns the numbers of all processes.
-    pub fn all(&self) -> Vec<usize> {
-        (0..self.count()).collect()
+    pub fn all_processes(&self) -> Vec<usize> {
+        (0..self.process_count()).collect()
     }
 
     /// Returns the network's numbers of the coordinators and the replicas in a zone.
-    pub fn zone(&self, zone: usize) -> Vec<usize> {
+    pub fn nodes_in_zone(&self, zone: usize) -> Vec<usize> {
         let zones = self.config.zones.len();
         let replicas = (0..self.config.replica_count())
             .filter(|replica| replica % zones == zone)
-            .map(|replica| self.count() + replica);
-        self.coordinators(zone)
+            .map(|replica| self.process_count() + replica);
+        self.coordinators_in_zone(zone)
             .into_iter()
             .chain(replicas)
             .collect()
     }
 
     /// Returns the numbers of the coordinators in a zone.
-    pub fn coordinators(&self, zone: usize) -> Vec<usize> {
-        self.all()
+    pub fn coordinators_in_zone(&self, zone: usize) -> Vec<usize> {
+        self.all_processes()
             .into_iter()
             .filter(|&process| self.processes[process].zone == zone)
             .collect()
@@ -148,7 +148,7 @@
 impl Drop for Rig {
     fn drop(&mut self) {
         self.shared.stopping.store(true, Ordering::SeqCst);
-        for process in self.all() {
+        for process in self.all_processes() {
             self.signal(process, "-CONT");
             self.kill(process, false);
             if std::thread::panicking() {
--- a/crates/linenthread-fakes/src/rig/check.rs
+++ b/crates/linenthread-fakes/src/rig/check.rs
@@ -5,10 +5,10 @@
 
 use super::clients::QueryOutcome;
 use super::layout::SOFT_DEADLINE;
-use crate::PATIENCE;
+use crate::EVENT_TIMEOUT;
 
 /// The tolerance after the soft deadline within which a response may arrive.
-const MAX_LATENESS: Duration = Duration::from_secs(PATIENCE.as_secs() / 5);
+const MAX_LATENESS: Duration = Duration::from_secs(EVENT_TIMEOUT.as_secs() / 5);
 
 /// The execution of a sub-request by a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -101,7 +101,11 @@
     if !outcome.succeeded() {
         return;
     }
-    let QueryOutcome { id, found, .. } = outcome;
+    let QueryOutcome {
+        id,
+        answered_shards: found,
+        ..
+    } = outcome;
     let missing: Vec<_> = outcome
         .shards
         .iter()
--- a/crates/linenthread-fakes/src/rig/clients.rs
+++ b/crates/linenthread-fakes/src/rig/clients.rs
@@ -45,7 +45,7 @@
     /// Whether the response is reported as complete.
     pub complete: bool,
     /// The shards of which the response has a value.
-    pub found: Vec<usize>,
+    pub answered_shards: Vec<usize>,
     /// Whether the process was up both before and after the query.
     pub process_stayed_up: bool,
 }
@@ -61,7 +61,7 @@
         let body: Value = serde_json::from_str(&response.body).unwrap_or_default();
         self.complete = body["finished"] == json!(true);
         let found = body["found"].as_array().into_iter().flatten();
-        self.found = found.filter_map(found_shard).collect();
+        self.answered_shards = found.filter_map(found_shard).collect();
     }
 }
 
@@ -136,7 +136,7 @@
             latency: Duration::ZERO,
             sent_at,
             complete: false,
-            found: Vec::new(),
+            answered_shards: Vec::new(),
             process_stayed_up: true,
         };
         self.exchange(&mut outcome);
@@ -155,7 +155,7 @@
         let request =
             request(index, &outcome.id, &outcome.shards).replace(DEFAULT_PLACEMENT_KEY, &key);
         if client.try_send(&request)
-            && let Some(response) = client.response()
+            && let Some(response) = client.read_response()
         {
             outcome.read_response(&response);
         }
--- a/crates/linenthread-fakes/src/rig/layout.rs
+++ b/crates/linenthread-fakes/src/rig/layout.rs
@@ -7,7 +7,7 @@
 
 use super::{RigConfig, Zone};
 use crate::loopback::unused_loopback;
-use crate::program::{config_of, find_and_order};
+use crate::program::{config_with_indexes, find_and_order};
 use crate::service_discovery::{member, membership};
 
 /// The number of shards of each index.
@@ -93,7 +93,7 @@
     pub(super) fn settings(&self, process: usize, discovery: SocketAddr, known: &str) -> Value {
         let indexes = find_and_order(SOFT_DEADLINE);
         let replicas = self.config.replica_count();
-        let mut config = config_of(discovery, known, &indexes, replicas, SHARDS);
+        let mut config = config_with_indexes(discovery, known, &indexes, replicas, SHARDS);
         let zones: Vec<&str> = self.config.zones.iter().map(|zone| zone.name).collect();
         config["name"] = json!(self.name(process));
         config["listen"] = json!(self.http(process).to_string());
--- a/crates/linenthread-fakes/src/rig/load.rs
+++ b/crates/linenthread-fakes/src/rig/load.rs
@@ -10,7 +10,7 @@
 use super::check::check;
 use super::clients::{QueryLoop, QueryOutcome};
 use super::{POLL_INTERVAL, Rig, ZonePair};
-use crate::PATIENCE;
+use crate::EVENT_TIMEOUT;
 use crate::sync::lock;
 
 /// How many outcomes are shown when a wait for successful queries fails.
@@ -62,7 +62,7 @@
     }
 
     /// Returns how many queries have succeeded so far.
-    pub fn succeeded(&self) -> usize {
+    pub fn success_count(&self) -> usize {
         let outcomes = lock(&self.shared.outcomes);
         outcomes
             .iter()
@@ -78,7 +78,7 @@
     /// If that does not happen within four times [`PATIENCE`].
     pub fn wait_until_serving(&self, zones: &[usize], in_a_row: usize) -> Duration {
         let since = Instant::now();
-        while since.elapsed() < 4 * PATIENCE {
+        while since.elapsed() < 4 * EVENT_TIMEOUT {
             let is_serving = |zone: &usize| self.is_serving(*zone, since, in_a_row);
             if zones.iter().all(is_serving) {
                 return since.elapsed();
@@ -110,7 +110,7 @@
     }
 
     /// Returns how many sub-requests have been executed so far.
-    pub fn executed(&self) -> usize {
+    pub fn execution_count(&self) -> usize {
         lock(&self.executed).len()
     }
 
@@ -143,7 +143,7 @@
     /// # Panics
     ///
     /// If a client has panicked.
-    pub fn check(&mut self) -> Vec<String> {
+    pub fn stop_and_check(&mut self) -> Vec<String> {
         self.shared.stopping.store(true, Ordering::SeqCst);
         for client in self.clients.drain(..) {
             client
--- a/crates/linenthread-fakes/src/rig/log.rs
+++ b/crates/linenthread-fakes/src/rig/log.rs
@@ -6,7 +6,7 @@
 use std::thread::spawn;
 use std::time::Instant;
 
-use crate::PATIENCE;
+use crate::EVENT_TIMEOUT;
 use crate::sync::lock;
 
 /// How many lines are shown when a wait for a line fails.
@@ -61,7 +61,7 @@
         description: &str,
         matches: &dyn Fn(&str) -> bool,
     ) -> String {
-        let end = Instant::now() + 3 * PATIENCE;
+        let end = Instant::now() + 3 * EVENT_TIMEOUT;
         let mut lines = lock(&self.lines);
         loop {
             if let Some(line) = lines.iter().skip(from).find(|line| matches(line)) {
--- a/crates/linenthread-fakes/src/rig/process_control.rs
+++ b/crates/linenthread-fakes/src/rig/process_control.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the process id of a process, or `None` if it does not run.
-    pub fn id(&self, process: usize) -> Option<u32> {
+    pub fn pid(&self, process: usize) -> Option<u32> {
         self.processes[process].id()
     }
 
@@ -70,7 +70,7 @@
     ///
     /// If the operating system rejects the limit.
     pub fn fill_disk(&self, process: usize, max_bytes: Option<u64>) {
-        let id = self.id(process).and_then(|id| i32::try_from(id).ok());
+        let id = self.pid(process).and_then(|id| i32::try_from(id).ok());
         if let Some(pid) = id.and_then(Pid::from_raw) {
             let limit = Rlimit {
                 current: max_bytes,
--- a/crates/linenthread-fakes/src/rig/waits.rs
+++ b/crates/linenthread-fakes/src/rig/waits.rs
@@ -5,7 +5,7 @@
 
 use super::route::{Route, ZonePair, route};
 use super::{POLL_INTERVAL, Rig, TABLE_IN_USE};
-use crate::PATIENCE;
+use crate::EVENT_TIMEOUT;
 
 impl Rig {
     /// Returns how many lines a process has logged so far, including those from before its restarts.
@@ -92,8 +92,8 @@
     /// # Panics
     ///
     /// If there is no single leader within twice [`PATIENCE`].
-    pub fn leader(&self) -> usize {
-        let end = Instant::now() + 2 * PATIENCE;
+    pub fn wait_for_leader(&self) -> usize {
+        let end = Instant::now() + 2 * EVENT_TIMEOUT;
         while Instant::now() < end {
             let leaders: Vec<usize> = (0..self.config.voters)
                 .filter(|process| self.processes[*process].is_leader())
--- a/crates/linenthread-fakes/src/row_replicas.rs
+++ b/crates/linenthread-fakes/src/row_replicas.rs
@@ -37,17 +37,17 @@
 
 /// How and when a replica handles one sub-request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Treatment {
+pub struct ScriptedBehavior {
     /// The delay before it acts.
     pub delay: Duration,
     /// What it does.
     pub behavior: Behavior,
 }
 
-impl Treatment {
+impl ScriptedBehavior {
     /// Returns a treatment with this behavior and no delay.
-    pub fn at_once(behavior: Behavior) -> Treatment {
-        Treatment {
+    pub fn immediate(behavior: Behavior) -> ScriptedBehavior {
+        ScriptedBehavior {
             delay: Duration::ZERO,
             behavior,
         }
@@ -73,7 +73,7 @@
         count: usize,
         store: RowStore,
         max_rows: usize,
-        mut treatment: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
+        mut treatment: impl FnMut(&SubRequest) -> ScriptedBehavior + Send + 'static,
     ) -> RowReplicas {
         let replicas = FakeReplicas::start(count);
         let addresses = replicas.addresses.clone();
@@ -81,7 +81,7 @@
         let shared = store.clone();
         spawn(move || {
             while let Some(sub_request) = replicas.wait_for_sub_request() {
-                let Treatment { delay, behavior } = treatment(&sub_request);
+                let ScriptedBehavior { delay, behavior } = treatment(&sub_request);
                 let store = shared.clone();
                 spawn(move || {
                     sleep(delay);
--- a/crates/linenthread-fakes/src/row_store.rs
+++ b/crates/linenthread-fakes/src/row_store.rs
@@ -157,7 +157,7 @@
         };
         for shard in 0..shards {
             for _ in 0..rng.rand_range(0..max_rows + 1) {
-                store.add(rng, shard);
+                store.add_random_row(rng, shard);
             }
         }
         store
@@ -168,7 +168,7 @@
     /// # Panics
     ///
     /// If there is no such shard.
-    pub fn add(&mut self, rng: &mut Rand64, shard: usize) -> Donation {
+    pub fn add_random_row(&mut self, rng: &mut Rand64, shard: usize) -> Donation {
         self.last_id += 1;
         let charities = ["mensa", "ulivi", "etna", "faro", "ponte", "sale"];
         let donation = Donation {
--- a/crates/linenthread-fakes/src/scenarios.rs
+++ b/crates/linenthread-fakes/src/scenarios.rs
@@ -11,7 +11,7 @@
 
 use crate::rig::Rig;
 
-pub use random_faults::{RoundsReport, rounds};
+pub use random_faults::{RandomFaultsReport, rounds};
 
 /// The number of zones of the default rig.
 const ZONES: usize = 3;
--- a/crates/linenthread-fakes/src/scenarios/processes.rs
+++ b/crates/linenthread-fakes/src/scenarios/processes.rs
@@ -17,10 +17,10 @@
 /// Kills the leader. Another voter must take over with the same table and record, and all queries must succeed again.
 pub(super) fn leader_killed(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
-    let leader = rig.leader();
+    let leader = rig.wait_for_leader();
     rig.kill(leader, false);
     let rest = others(&rig, &[leader]);
-    let new_leader = rig.leader();
+    let new_leader = rig.wait_for_leader();
     assert_ne!(new_leader, leader);
     wait_for_logs(&rig, &rest, &log_positions(&rig), TABLE_IN_USE);
     rig.wait_until_serving(&rest, 20);
@@ -34,7 +34,7 @@
 /// be decided twice.
 pub(super) fn leader_stopped(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
-    let leader = rig.leader();
+    let leader = rig.wait_for_leader();
     stop(&rig, leader);
     let rest = others(&rig, &[leader]);
     let started_at = Instant::now();
@@ -46,7 +46,7 @@
     rig.wait_for_log_after(leader, from, LEADERSHIP_LOST);
     rig.wait_for_log_after(leader, from, TABLE_IN_USE);
     rig.set_queried(leader, true);
-    assert_ne!(rig.leader(), leader);
+    assert_ne!(rig.wait_for_leader(), leader);
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
 }
@@ -56,7 +56,7 @@
     let mut rig = start_serving(exe, with_seed(seed));
     let lost = zone_by_seed(seed);
     rig.kill(lost, true);
-    rig.leader();
+    rig.wait_for_leader();
     let rest = others(&rig, &[lost]);
     let from = log_positions(&rig);
     rig.start(lost);
@@ -67,7 +67,7 @@
     // While another voter is down, a majority needs its vote.
     let killed = rest[usize::from(seed / 3 % 2 == 1)];
     rig.kill(killed, false);
-    rig.leader();
+    rig.wait_for_leader();
     let from = rig.log_position(lost);
     rig.wait_for_log_after(lost, from, TABLE_IN_USE);
     rig.start(killed);
@@ -79,12 +79,12 @@
 /// tables, and vote again once there is space on the disk.
 pub(super) fn disk_full(exe: &str, seed: u64) -> Rig {
     let rig = start_serving(exe, with_seed(seed));
-    let old_leader = rig.leader();
+    let old_leader = rig.wait_for_leader();
     let from = rig.log_position(old_leader);
     rig.fill_disk(old_leader, Some(FULL_DISK_BYTES));
     rig.wait_for_log_after(old_leader, from, "voter stopped: the disk failed");
     rig.wait_for_log_after(old_leader, from, LEADERSHIP_LOST);
-    let new_leader = rig.leader();
+    let new_leader = rig.wait_for_leader();
     assert_ne!(new_leader, old_leader);
     rig.wait_until_serving(&ALL_ZONES, 20);
     let from = rig.log_position(old_leader);
@@ -98,7 +98,7 @@
 /// Restarts all processes, one after the other.
 pub(super) fn rolling_restart(exe: &str, seed: u64) -> Rig {
     let mut rig = start_serving(exe, with_seed(seed));
-    for process in rig.all() {
+    for process in rig.all_processes() {
         let rest = others(&rig, &[process]);
         assert!(
             rig.terminate(process),
@@ -108,7 +108,7 @@
         rig.wait_until_serving(&rest, 10);
         rig.start(process);
         rig.wait_for_log(process, TABLE_IN_USE);
-        rig.leader();
+        rig.wait_for_leader();
     }
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
--- a/crates/linenthread-fakes/src/scenarios/random_faults.rs
+++ b/crates/linenthread-fakes/src/scenarios/random_faults.rs
@@ -60,7 +60,8 @@
             }
             Fault::PartitionZones => {
                 let other = (zone + 1) % ZONES;
-                rig.network.partition(&rig.zone(zone), &rig.zone(other));
+                rig.network
+                    .partition(&rig.nodes_in_zone(zone), &rig.nodes_in_zone(other));
                 sleep(random_duration(rng, 500..6_000));
             }
             Fault::IsolateProcess => {
@@ -89,7 +90,7 @@
 
 /// The outcome of the queries that were sent while random faults were injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RoundsReport {
+pub struct RandomFaultsReport {
     /// The number of queries.
     pub queries: usize,
     /// The violations of the rules.
@@ -102,7 +103,7 @@
 /// # Panics
 ///
 /// If an expected event does not happen in time.
-pub fn rounds(exe: &str, rounds: usize, seed: u64) -> RoundsReport {
+pub fn rounds(exe: &str, rounds: usize, seed: u64) -> RandomFaultsReport {
     let mut rng = Rand64::new(u128::from(seed));
     let mut rig = start_serving(
         exe,
@@ -112,17 +113,17 @@
         },
     );
     for round in 0..rounds {
-        let process = random_index(&mut rng, rig.count());
+        let process = random_index(&mut rng, rig.process_count());
         let zone = random_index(&mut rng, ZONES);
         let number = random_index(&mut rng, Fault::ALL.len());
         println!("round {round}: fault {number}, process {process}, zone {zone}");
         Fault::ALL[number].inject(&mut rig, &mut rng, process, zone);
         rig.network.heal();
-        rig.leader();
+        rig.wait_for_leader();
         rig.wait_until_serving(&ALL_ZONES, 15);
     }
-    let violations = rig.check();
-    RoundsReport {
+    let violations = rig.stop_and_check();
+    RandomFaultsReport {
         queries: rig.outcomes().len(),
         violations,
     }
--- a/crates/linenthread-fakes/src/scenarios/steps.rs
+++ b/crates/linenthread-fakes/src/scenarios/steps.rs
@@ -29,7 +29,7 @@
 
 /// Returns the numbers of all processes except the excluded ones.
 pub(super) fn others(rig: &Rig, excluded: &[usize]) -> Vec<usize> {
-    rig.all()
+    rig.all_processes()
         .into_iter()
         .filter(|process| !excluded.contains(process))
         .collect()
@@ -37,7 +37,7 @@
 
 /// Returns the log positions of all processes.
 pub(super) fn log_positions(rig: &Rig) -> Vec<usize> {
-    rig.all()
+    rig.all_processes()
         .iter()
         .map(|&process| rig.log_position(process))
         .collect()
@@ -66,9 +66,9 @@
 
 /// Kills the coordinators of a zone, and makes all nodes in it refuse connections.
 pub(super) fn lose_zone(rig: &mut Rig, zone: usize) {
-    for node in rig.zone(zone) {
+    for node in rig.nodes_in_zone(zone) {
         rig.network.set_down(node, true);
-        if node < rig.count() {
+        if node < rig.process_count() {
             rig.kill(node, false);
         }
     }
@@ -76,9 +76,9 @@
 
 /// Starts the coordinators of a zone, and makes all nodes in it accept connections again.
 pub(super) fn restore_zone(rig: &mut Rig, zone: usize) {
-    for node in rig.zone(zone) {
+    for node in rig.nodes_in_zone(zone) {
         rig.network.set_down(node, false);
-        if node < rig.count() {
+        if node < rig.process_count() {
             rig.start(node);
         }
     }
--- a/crates/linenthread-fakes/src/scenarios/zones.rs
+++ b/crates/linenthread-fakes/src/scenarios/zones.rs
@@ -20,7 +20,7 @@
             ..with_seed(seed)
         },
     );
-    let since = rig.executed();
+    let since = rig.execution_count();
     rig.wait_until_serving(&ALL_ZONES, 80);
     let traffic = rig.traffic(since);
     let (all, avoidable) = (traffic.total(), traffic.avoidable);
@@ -40,7 +40,7 @@
     let from = log_positions(&rig);
     lose_zone(&mut rig, lost);
     for &zone in &rest {
-        for process in rig.coordinators(zone) {
+        for process in rig.coordinators_in_zone(zone) {
             let zones = ZonePair {
                 from: zone,
                 to: lost,
@@ -51,7 +51,7 @@
         }
     }
     rig.wait_until_serving(&rest, 20);
-    let since = rig.executed();
+    let since = rig.execution_count();
     rig.wait_until_serving(&rest, 20);
     // Only health checks and the first steps of a slow start are still sent to the lost zone.
     let traffic = rig.traffic(since);
@@ -59,7 +59,7 @@
     assert!(to_lost <= 3, "{traffic:?}");
     restore_zone(&mut rig, lost);
     let from = log_positions(&rig);
-    for process in rig.all() {
+    for process in rig.all_processes() {
         let zones = ZonePair {
             from: process % ZONES,
             to: lost,
@@ -77,10 +77,11 @@
     let (a, b) = (zone_by_seed(seed), zone_by_seed(seed + 1));
     let third = ALL_ZONES.iter().sum::<usize>() - a - b;
     let from = log_positions(&rig);
-    rig.network.partition(&rig.zone(a), &rig.zone(b));
+    rig.network
+        .partition(&rig.nodes_in_zone(a), &rig.nodes_in_zone(b));
     // The routes of the third zone stay unchanged. At least one of the two zones queries shards of the other, and so
     // detects the partition.
-    let process = rig.coordinators(third)[0];
+    let process = rig.coordinators_in_zone(third)[0];
     let between = ZonePair { from: a, to: b };
     rig.wait_for_partition(process, from[process], between);
     rig.wait_until_serving(&[third], 20);
@@ -121,7 +122,7 @@
     let rig = start_serving(exe, with_seed(seed));
     rig.network.degrade(Duration::from_millis(30), 300);
     rig.wait_until_serving(&ALL_ZONES, 30);
-    rig.leader();
+    rig.wait_for_leader();
     rig.network.heal();
     rig.wait_until_serving(&ALL_ZONES, 20);
     rig
--- a/crates/linenthread-fakes/src/service_discovery.rs
+++ b/crates/linenthread-fakes/src/service_discovery.rs
@@ -10,7 +10,7 @@
 
 use crate::http::{read_message, write_response};
 use crate::loopback::{self, duplicate};
-use crate::{PATIENCE, wait};
+use crate::{EVENT_TIMEOUT, wait};
 
 /// A service discovery server. It responds to requests for the full membership, and leaves each watch pending until the
 /// test answers it.
@@ -46,10 +46,10 @@
     /// # Panics
     ///
     /// If no watch arrives in time.
-    pub fn watch_is_closed(&self) -> bool {
+    pub fn wait_until_watch_closed(&self) -> bool {
         let connection = wait(&self.watches, "a watch");
         connection
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(EVENT_TIMEOUT))
             .expect("the time-out is not zero");
         connection.peek(&mut [0]).is_ok_and(|bytes| bytes == 0)
     }
--- a/crates/linenthread-fakes/src/sites.rs
+++ b/crates/linenthread-fakes/src/sites.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 pub use load::{LoadReport, QueryResult, SteadyLoad, disconnect_everywhere, query_during_fault};
-pub use verdict::Verdict;
+pub use verdict::QuerySummary;
 
 use self::setup::{
     ARGUMENTS, REPLICAS, folder_with, peer_elements, settings, start_gateway, start_replicas,
@@ -76,7 +76,7 @@
     /// The address on which the gateway accepts links.
     pub link_address: SocketAddr,
     /// The second gateway, if configured.
-    pub second: Option<SecondGateway>,
+    pub second_gateway: Option<SecondGateway>,
     /// The addresses of the replicas, by number.
     pub replicas: Vec<SocketAddr>,
     /// The gateway's service discovery.
@@ -125,7 +125,7 @@
             gateway: gateway.service,
             proxy: gateway.proxy,
             link_address: gateway.link_address,
-            second,
+            second_gateway: second,
             replicas,
             gateway_discovery,
             received,
@@ -203,10 +203,10 @@
     /// # Panics
     ///
     /// If the coordinator does not accept the connection.
-    pub fn query(&mut self, index: &str, verdict: &mut Verdict, description: &str) {
+    pub fn query(&mut self, index: &str, verdict: &mut QuerySummary, description: &str) {
         self.queries += 1;
         let id = format!("{index}{}", self.queries);
-        let response = self.local.query(index, &id, &[1]).response();
+        let response = self.local.query(index, &id, &[1]).read_response();
         let status = response.map(|response| response.status);
         verdict.count(status);
         if status == Some(503) {
@@ -238,8 +238,8 @@
     /// If the link does not come up again.
     pub fn measure_exchange(&mut self) -> ByDirection<usize> {
         self.reconnect();
-        self.query(ORDER, &mut Verdict::default(), "uninterrupted");
-        self.proxy.forwarded()
+        self.query(ORDER, &mut QuerySummary::default(), "uninterrupted");
+        self.proxy.forwarded_bytes()
     }
 
     /// Sends a non-idempotent query on a new connection of the link that is closed at a byte limit.
@@ -247,7 +247,7 @@
     /// # Panics
     ///
     /// If the link does not come up again.
-    pub fn disconnect_at(&mut self, limit: ByteLimit, verdict: &mut Verdict) {
+    pub fn disconnect_at(&mut self, limit: ByteLimit, verdict: &mut QuerySummary) {
         let ByteLimit { direction, bytes } = limit;
         self.proxy.disconnect_next_after(direction, bytes);
         self.reconnect();
--- a/crates/linenthread-fakes/src/sites/load.rs
+++ b/crates/linenthread-fakes/src/sites/load.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use super::setup::SOFT_DEADLINE;
-use super::verdict::{QueryEnd, Verdict};
+use super::verdict::{QueryEnd, QuerySummary};
 use super::{Sites, SitesConfig};
 use crate::Client;
 use crate::proxy::{ByteLimit, Direction};
@@ -47,7 +47,7 @@
     ) -> QueryResult {
         let mut client = Client::connect(address);
         client.query(index, &id, &[1]);
-        let status = client.response().map(|response| response.status);
+        let status = client.read_response().map(|response| response.status);
         QueryResult {
             id,
             index,
@@ -88,7 +88,7 @@
 #[derive(Debug)]
 pub struct LoadReport {
     /// The counts of outcomes, and the violations.
-    pub verdict: Verdict,
+    pub summary: QuerySummary,
     /// The result of each query, in the order of the responses.
     pub results: Vec<QueryResult>,
 }
@@ -137,14 +137,14 @@
     let results: Vec<QueryResult> = result_receiver.iter().collect();
     sleep(IN_TRANSIT);
     LoadReport {
-        verdict: check(sites, &results),
+        summary: check(sites, &results),
         results,
     }
 }
 
-fn check(sites: &Sites, results: &[QueryResult]) -> Verdict {
+fn check(sites: &Sites, results: &[QueryResult]) -> QuerySummary {
     let executions = sites.executions();
-    let mut verdict = Verdict::default();
+    let mut verdict = QuerySummary::default();
     for result in results {
         verdict.count(result.status);
         let QueryResult {
@@ -177,7 +177,7 @@
     session_timeout: Duration,
     step: usize,
     at_once: usize,
-) -> Verdict {
+) -> QuerySummary {
     // Without resumption, a short interruption must be reported as well.
     let config = SitesConfig {
         session_timeout,
@@ -203,7 +203,7 @@
             spawn(move || disconnect_at_each(&exe, config, &limits))
         })
         .collect();
-    let mut total = Verdict::default();
+    let mut total = QuerySummary::default();
     for thread in threads {
         total.add(
             thread
@@ -214,9 +214,9 @@
     total
 }
 
-fn disconnect_at_each(exe: &str, config: SitesConfig, limits: &[ByteLimit]) -> Verdict {
+fn disconnect_at_each(exe: &str, config: SitesConfig, limits: &[ByteLimit]) -> QuerySummary {
     let mut sites = Sites::start(exe, config);
-    let mut verdict = Verdict::default();
+    let mut verdict = QuerySummary::default();
     for limit in limits {
         sites.disconnect_at(*limit, &mut verdict);
     }
--- a/crates/linenthread-fakes/src/sites/setup.rs
+++ b/crates/linenthread-fakes/src/sites/setup.rs
@@ -14,7 +14,7 @@
 use crate::program::{find_and_order, millis};
 use crate::proxy::Proxy;
 use crate::sync::lock;
-use crate::{FakeReplicas, Service, ServiceDiscovery, config_of};
+use crate::{FakeReplicas, Service, ServiceDiscovery, config_with_indexes};
 
 /// The secret that both sites share.
 const SECRET: &str = "a secret between two sites\n";
@@ -56,7 +56,7 @@
 /// Returns the contents of `config.json` of a site.
 pub(super) fn settings(discovery: &ServiceDiscovery, known: &str) -> Value {
     let indexes = find_and_order(SOFT_DEADLINE);
-    let mut config = config_of(discovery.address, known, &indexes, REPLICAS, SHARDS);
+    let mut config = config_with_indexes(discovery.address, known, &indexes, REPLICAS, SHARDS);
     config["limits"]["sockets"] = SOCKETS.into();
     config
 }
--- a/crates/linenthread-fakes/src/sites/verdict.rs
+++ b/crates/linenthread-fakes/src/sites/verdict.rs
@@ -4,7 +4,7 @@
 
 /// The outcomes of the queries of a run.
 #[derive(Debug, Default, PartialEq)]
-pub struct Verdict {
+pub struct QuerySummary {
     /// The number of queries that were checked.
     pub checked: usize,
     /// The number of queries that succeeded (status 200).
@@ -17,7 +17,7 @@
     pub violations: Vec<String>,
 }
 
-impl Verdict {
+impl QuerySummary {
     pub(super) fn count(&mut self, status: Option<u16>) {
         self.checked += 1;
         match status {
@@ -28,7 +28,7 @@
         }
     }
 
-    pub(super) fn add(&mut self, other: Verdict) {
+    pub(super) fn add(&mut self, other: QuerySummary) {
         self.checked += other.checked;
         self.succeeded += other.succeeded;
         self.rejected += other.rejected;
--- a/crates/linenthread-fakes/tests/platform.rs
+++ b/crates/linenthread-fakes/tests/platform.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use linenthread_fakes::PATIENCE;
+use linenthread_fakes::EVENT_TIMEOUT;
 use linenthread_fakes::platform::{
     CallResponse, CallValidator, ConnectionEnd, FakePlatform, PlatformLog, PlatformMode,
     PlatformRules, PlatformViolation, ReceivedCall,
@@ -26,7 +26,7 @@
         owner: owner.to_owned(),
         fence,
         body: format!(r#"{{"epoch":{window},"tallies":{{"milo":{requests}}}}}"#),
-        at: Duration::from_millis(START_MS + after_ms),
+        received_at: Duration::from_millis(START_MS + after_ms),
     }
 }
 
@@ -48,7 +48,7 @@
     let (responses, log) = handle_calls(&calls);
     assert_eq!(responses, [CallResponse::Accepted; 4]);
     assert_eq!(log.violations, []);
-    assert_eq!((log.reports.len(), log.repeats), (3, 1));
+    assert_eq!((log.reports.len(), log.duplicate_reports), (3, 1));
     let report = log.report(199).unwrap();
     assert_eq!((report.owner.as_str(), report.fence), ("a", 3));
     assert_eq!(report.tallies["milo"], 8);
@@ -66,7 +66,7 @@
     ];
     let (responses, log) = handle_calls(&calls);
     assert_eq!(responses[2], CallResponse::FenceTooLow);
-    assert_eq!((log.refused, log.violations.len()), (1, 0));
+    assert_eq!((log.refused_calls, log.violations.len()), (1, 0));
     assert_eq!(log.report(3), None);
 }
 
@@ -117,9 +117,9 @@
     let (responses, log) = handle_calls(&calls);
     assert_eq!(
         responses[50..],
-        [CallResponse::TooMany, CallResponse::Accepted]
+        [CallResponse::TooManyRequests, CallResponse::Accepted]
     );
-    assert_eq!((log.over_rate, log.reports.len()), (1, 51));
+    assert_eq!((log.rate_limited_calls, log.reports.len()), (1, 51));
 }
 
 // --- over HTTP ---
@@ -138,7 +138,7 @@
 /// connection is closed without a response.
 fn send(platform: &FakePlatform, request: &str) -> std::io::Result<String> {
     let mut connection = TcpStream::connect(platform.address)?;
-    connection.set_read_timeout(Some(PATIENCE))?;
+    connection.set_read_timeout(Some(EVENT_TIMEOUT))?;
     connection.write_all(request.as_bytes())?;
     let mut response = [0; 12];
     let length = connection.read(&mut response)?;
@@ -150,9 +150,9 @@
     let platform = FakePlatform::start(RULES);
     assert_eq!(send(&platform, &request()).unwrap(), "HTTP/1.1 200");
     let ended = |log: &PlatformLog| log.connection_ends.len() == 1;
-    assert!(platform.wait_until(PATIENCE, ended));
+    assert!(platform.wait_until(EVENT_TIMEOUT, ended));
     let log = platform.log();
-    assert_eq!((log.received, log.reports.len()), (1, 1));
+    assert_eq!((log.received_requests, log.reports.len()), (1, 1));
     // The client closes the connection without reading the whole response, so the system resets it.
     assert_eq!(log.connection_ends, [ConnectionEnd::Reset]);
 }
--- a/crates/linenthread-fakes/tests/rig_check.rs
+++ b/crates/linenthread-fakes/tests/rig_check.rs
@@ -15,7 +15,7 @@
         latency: Duration::from_millis(20),
         sent_at: Instant::now(),
         complete: true,
-        found: vec![3],
+        answered_shards: vec![3],
         process_stayed_up: true,
     }
 }
@@ -26,7 +26,7 @@
         id: "c0x2".to_owned(),
         non_idempotent: false,
         shards: vec![1, 6, 11],
-        found: vec![1, 6, 11],
+        answered_shards: vec![1, 6, 11],
         ..order()
     }
 }
@@ -59,12 +59,12 @@
     let rejected = QueryOutcome {
         status: Some(503),
         complete: false,
-        found: Vec::new(),
+        answered_shards: Vec::new(),
         ..order()
     };
     let partial = QueryOutcome {
         complete: false,
-        found: vec![6],
+        answered_shards: vec![6],
         ..find()
     };
     // The process was stopped during the query.
@@ -72,7 +72,7 @@
         status: None,
         latency: Duration::from_secs(60),
         complete: false,
-        found: Vec::new(),
+        answered_shards: Vec::new(),
         process_stayed_up: false,
         ..find()
     };
@@ -93,7 +93,7 @@
     let unanswered = QueryOutcome {
         status: None,
         complete: false,
-        found: Vec::new(),
+        answered_shards: Vec::new(),
         ..order()
     };
     assert_single(&violations(&unanswered, &[]), "got no response");
@@ -114,7 +114,7 @@
     let rejected = QueryOutcome {
         status: Some(503),
         complete: false,
-        found: Vec::new(),
+        answered_shards: Vec::new(),
         ..order()
     };
     assert_single(
@@ -126,7 +126,7 @@
 #[test]
 fn a_response_with_a_missing_or_unexecuted_value_is_a_violation() {
     let incomplete = QueryOutcome {
-        found: vec![1, 11],
+        answered_shards: vec![1, 11],
         ..find()
     };
     assert_single(
--- a/crates/linenthread-fleet/src/fleet/action.rs
+++ b/crates/linenthread-fleet/src/fleet/action.rs
@@ -32,7 +32,7 @@
         reason: String,
     },
     /// Send a datagram.
-    Datagram {
+    SendDatagram {
         /// The address to send it to.
         to: SocketAddr,
         /// The datagram.
--- a/crates/linenthread-fleet/src/fleet/connection.rs
+++ b/crates/linenthread-fleet/src/fleet/connection.rs
@@ -111,6 +111,6 @@
 
     /// Reports whether it is established and the peer is a follower.
     pub(super) fn is_follower(&self) -> bool {
-        matches!(&self.phase, Phase::Established(peer) if peer.role == Role::Follower)
+        matches!(&self.phase, Phase::Established(peer) if peer.role == Role::NonVoter)
     }
 }
--- a/crates/linenthread-fleet/src/fleet/handshake.rs
+++ b/crates/linenthread-fleet/src/fleet/handshake.rs
@@ -125,7 +125,7 @@
         if self.voter.as_ref().is_some_and(is_running) {
             Role::Voter
         } else {
-            Role::Follower
+            Role::NonVoter
         }
     }
 
@@ -160,7 +160,7 @@
         let name = &hello.name;
         let is_configured_voter = self.voters.iter().any(|voter| voter.name == *name);
         let has_valid_length = (1..=MAX_NAME_BYTES).contains(&name.len());
-        let has_valid_role = hello.role == Role::Follower || is_configured_voter;
+        let has_valid_role = hello.role == Role::NonVoter || is_configured_voter;
         *name != self.local && has_valid_length && has_valid_role
     }
 
@@ -191,7 +191,7 @@
         let connected = ConnectionEvent::Connected { peer: name.clone() };
         actions.push(FleetAction::LogConnection(connected));
         match role {
-            Role::Follower => self.send_all_values(id, actions),
+            Role::NonVoter => self.send_all_values(id, actions),
             Role::Voter => self.on_voter_connected(&name, actions),
         }
     }
--- a/crates/linenthread-fleet/src/fleet/mod.rs
+++ b/crates/linenthread-fleet/src/fleet/mod.rs
@@ -177,8 +177,8 @@
     }
 
     /// Returns all other members that are considered alive.
-    pub fn alive(&self) -> impl Iterator<Item = &NodeIdentity> {
-        self.members.alive()
+    pub fn alive_members(&self) -> impl Iterator<Item = &NodeIdentity> {
+        self.members.alive_members()
     }
 
     /// Returns this process's copy of the replicated state, which may be out of date.
@@ -190,7 +190,7 @@
     }
 
     /// Returns the number of datagrams, frames and connections that were refused so far.
-    pub fn refused(&self) -> u64 {
+    pub fn refused_count(&self) -> u64 {
         self.refused
     }
 
@@ -240,9 +240,9 @@
 
 fn member_action(action: MembersAction) -> FleetAction {
     match action {
-        MembersAction::Send { to, bytes } => FleetAction::Datagram { to, bytes },
+        MembersAction::Send { to, bytes } => FleetAction::SendDatagram { to, bytes },
         MembersAction::Up(member) => FleetAction::MemberUp(member),
         MembersAction::Down(member) => FleetAction::MemberDown(member),
-        MembersAction::Refuted => FleetAction::Log(FleetEvent::DownRefuted),
+        MembersAction::DownRefuted => FleetAction::Log(FleetEvent::DownRefuted),
     }
 }
--- a/crates/linenthread-fleet/src/frame/handshake.rs
+++ b/crates/linenthread-fleet/src/frame/handshake.rs
@@ -17,7 +17,7 @@
     /// A voter, which may send progress, Raft messages and committed values.
     Voter,
     /// Any other process, which receives committed values.
-    Follower,
+    NonVoter,
 }
 
 impl Role {
@@ -29,7 +29,7 @@
         if is_voter {
             Role::Voter
         } else {
-            Role::Follower
+            Role::NonVoter
         }
     }
 }
--- a/crates/linenthread-fleet/src/members/mod.rs
+++ b/crates/linenthread-fleet/src/members/mod.rs
@@ -45,7 +45,7 @@
     /// A member is down or has left.
     Down(NodeIdentity),
     /// This process was declared down by other members and has refuted it.
-    Refuted,
+    DownRefuted,
 }
 
 /// This process's view of the members.
@@ -87,7 +87,7 @@
     }
 
     /// Returns all other members that are considered alive.
-    pub fn alive(&self) -> impl Iterator<Item = &NodeIdentity> {
+    pub fn alive_members(&self) -> impl Iterator<Item = &NodeIdentity> {
         self.alive.values()
     }
 
@@ -148,7 +148,7 @@
         if candidates.is_empty() {
             let members = self.alive.values();
             candidates = members
-                .map(|member| NodeIdentity::unknown(&member.name, member.gossip))
+                .map(|member| NodeIdentity::unknown(&member.name, member.gossip_address))
                 .collect();
         }
         let index = random_index(&mut self.rng, candidates.len());
@@ -215,7 +215,7 @@
             self.timers.set(now, after, timer);
         }
         if requests.refuted {
-            actions.push(MembersAction::Refuted);
+            actions.push(MembersAction::DownRefuted);
         }
         if requests.members_changed {
             self.update_alive(actions);
--- a/crates/linenthread-fleet/src/members/runtime.rs
+++ b/crates/linenthread-fleet/src/members/runtime.rs
@@ -71,7 +71,7 @@
     }
 
     fn send_to(&mut self, to: NodeIdentity, data: &[u8]) {
-        self.datagrams.push((to.gossip, data.to_vec()));
+        self.datagrams.push((to.gossip_address, data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<NodeIdentity>, after: Duration) {
--- a/crates/linenthread-fleet/src/node_identity.rs
+++ b/crates/linenthread-fleet/src/node_identity.rs
@@ -27,7 +27,7 @@
     /// Its name, unique in the fleet.
     pub name: String,
     /// The address at which it receives gossip.
-    pub gossip: SocketAddr,
+    pub gossip_address: SocketAddr,
     /// The machine that it runs on.
     pub machine: String,
     /// The zone of that machine.
@@ -49,7 +49,7 @@
     pub fn unknown(name: &str, gossip: SocketAddr) -> NodeIdentity {
         NodeIdentity {
             name: name.into(),
-            gossip,
+            gossip_address: gossip,
             machine: String::new(),
             zone: String::new(),
             region: String::new(),
@@ -68,7 +68,7 @@
 
     pub(crate) fn encode(&self, encoder: &mut Encoder) {
         encoder.text(&self.name);
-        match self.gossip.ip() {
+        match self.gossip_address.ip() {
             IpAddr::V4(ip) => {
                 encoder.u8(IPV4);
                 encoder.raw(ip.octets());
@@ -78,7 +78,7 @@
                 encoder.raw(ip.octets());
             }
         }
-        encoder.u16(self.gossip.port());
+        encoder.u16(self.gossip_address.port());
         encoder.text(&self.machine);
         encoder.text(&self.zone);
         encoder.text(&self.region);
@@ -97,7 +97,7 @@
         };
         let identity = NodeIdentity {
             name,
-            gossip: SocketAddr::new(ip, decoder.u16()?),
+            gossip_address: SocketAddr::new(ip, decoder.u16()?),
             machine: decoder.text()?,
             zone: decoder.text()?,
             region: decoder.text()?,
--- a/crates/linenthread-fleet/src/voter/mod.rs
+++ b/crates/linenthread-fleet/src/voter/mod.rs
@@ -163,7 +163,7 @@
     }
 
     /// Reports whether its identity is among the voters, as far as it has applied the log.
-    pub fn votes(&self) -> bool {
+    pub fn is_voting_member(&self) -> bool {
         matches!(&self.state, State::Active(node) if self.is_voter_id(node.raft.id))
     }
 
--- a/crates/linenthread-fleet/tests/golden.rs
+++ b/crates/linenthread-fleet/tests/golden.rs
@@ -256,7 +256,7 @@
     DurableState {
         incarnation: voter.incarnation(),
         term: voter.term(),
-        votes: voter.votes(),
+        votes: voter.is_voting_member(),
     }
 }
 
@@ -272,7 +272,7 @@
 fn member(name: &str, gossip: &str, incarnation: u64) -> NodeIdentity {
     NodeIdentity {
         name: name.to_owned(),
-        gossip: gossip.parse().expect("an address"),
+        gossip_address: gossip.parse().expect("an address"),
         machine: "machine-1".to_owned(),
         zone: "zone-b".to_owned(),
         region: "region-c".to_owned(),
@@ -298,7 +298,7 @@
             .expect("the secret is long enough");
         let seed = |member: &NodeIdentity| PeerAddress {
             name: member.name.clone(),
-            address: member.gossip,
+            address: member.gossip_address,
         };
         let member = |(random_seed, local): (u64, &NodeIdentity)| {
             let config = MembersConfig {
@@ -309,7 +309,7 @@
                 secrets: secrets.clone(),
                 random_seed,
             };
-            (local.gossip, Members::new(config, 0))
+            (local.gossip_address, Members::new(config, 0))
         };
         Gossip {
             members: (1..).zip(all).map(member).collect(),
@@ -351,7 +351,7 @@
     let mut gossip = Gossip::new(&all);
     for now in (0..120_000).step_by(100) {
         if now == 30_000 {
-            gossip.members.remove(&all[2].gossip);
+            gossip.members.remove(&all[2].gossip_address);
         }
         gossip.step(now);
     }
--- a/crates/linenthread-fleet/tests/membership.rs
+++ b/crates/linenthread-fleet/tests/membership.rs
@@ -55,7 +55,7 @@
 
     fn all_know(&self, others: usize) -> bool {
         let mut members = self.members.iter().flatten();
-        members.all(|member| member.alive().count() == others)
+        members.all(|member| member.alive_members().count() == others)
     }
 
     fn step(&mut self) {
--- a/crates/linenthread-fleet/tests/voters.rs
+++ b/crates/linenthread-fleet/tests/voters.rs
@@ -124,7 +124,11 @@
         VoterIncarnation::FOUNDER,
         "new-disk-new-identity"
     );
-    assert!(cluster.voters["catania"].votes(), "{:?}", log(&cluster));
+    assert!(
+        cluster.voters["catania"].is_voting_member(),
+        "{:?}",
+        log(&cluster)
+    );
     // The disks of both other voters fail, then this voter loses its disk again. The failed disks may hold committed
     // entries, so no new fleet is founded.
     for name in ["messina", "palermo"] {
--- a/crates/linenthread-installation/src/lib.rs
+++ b/crates/linenthread-installation/src/lib.rs
@@ -27,7 +27,7 @@
 use error::{InvalidSnafu, IoSnafu};
 pub use fleet::{Fleet, Voter};
 pub use gateway::{Gateway, Peer};
-pub use merging::{CursorFiles, Merging};
+pub use merging::{CursorConfig, Merging};
 use schema::Schema;
 pub use zones::{Zone, Zones};
 
--- a/crates/linenthread-installation/src/merging.rs
+++ b/crates/linenthread-installation/src/merging.rs
@@ -22,12 +22,12 @@
     /// The merge plan of each index.
     pub plans: Vec<Plan>,
     /// The lifetime and the secrets of pagination cursors.
-    pub cursors: Option<CursorFiles>,
+    pub cursors: Option<CursorConfig>,
 }
 
 /// The lifetime and the secrets of pagination cursors.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CursorFiles {
+pub struct CursorConfig {
     /// How long a cursor is valid.
     pub lifetime: Duration,
     /// The file of the secret that signs cursors, then that of the previous one, which is still accepted.
@@ -40,7 +40,7 @@
         element: &Element,
         known: &dyn Fn(&str) -> Option<KnownIndex>,
     ) -> Result<Merging, InstallationError> {
-        let cursors = section.cursors.map(CursorFiles::from);
+        let cursors = section.cursors.map(CursorConfig::from);
         let mut plans: Vec<Plan> = Vec::new();
         let elements = element.children.iter().filter(|e| e.name != "marks");
         for (section, element) in section.indexes.into_iter().zip(elements) {
@@ -58,9 +58,9 @@
     }
 }
 
-impl From<CursorsSection> for CursorFiles {
-    fn from(section: CursorsSection) -> CursorFiles {
-        CursorFiles {
+impl From<CursorsSection> for CursorConfig {
+    fn from(section: CursorsSection) -> CursorConfig {
+        CursorConfig {
             lifetime: Duration::from_secs(section.lifetime_seconds),
             secret_files: secret_files(section.secret, section.previous_secret),
         }
@@ -81,7 +81,7 @@
     section: IndexSection,
     element: &Element,
     settings: KnownIndex,
-    cursors: Option<&CursorFiles>,
+    cursors: Option<&CursorConfig>,
 ) -> Result<Aggregation, InstallationError> {
     match section {
         IndexSection::Totals(totals) => {
@@ -129,7 +129,7 @@
     section: RowsSection,
     element: &Element,
     settings: KnownIndex,
-    cursors: Option<&CursorFiles>,
+    cursors: Option<&CursorConfig>,
 ) -> Result<RowPlan, InstallationError> {
     let page_size = section.page_size;
     let max_page_size = section.max_page_size.unwrap_or(page_size);
--- a/crates/linenthread-link/src/client/mod.rs
+++ b/crates/linenthread-link/src/client/mod.rs
@@ -141,7 +141,7 @@
         };
         LinkStatus {
             is_usable: self.is_usable(),
-            one_way,
+            one_way_latency: one_way,
             in_flight: self.calls.len() as u64,
             capacity,
         }
--- a/crates/linenthread-link/src/routing.rs
+++ b/crates/linenthread-link/src/routing.rs
@@ -15,7 +15,7 @@
     /// Whether the link accepts calls: it is ready, or was ready within the grace period.
     pub is_usable: bool,
     /// The one-way latency in tenths of a millisecond; 0 while unknown.
-    pub one_way: TenthMillis,
+    pub one_way_latency: TenthMillis,
     /// The number of pending calls.
     pub in_flight: u64,
     /// The maximum number of pending calls.
@@ -32,7 +32,7 @@
 /// Estimates the cost of a call on a link: the latency, multiplied by a factor that grows with the utilization.
 fn cost(status: &LinkStatus) -> f64 {
     let utilization = status.in_flight as f64 / status.capacity.max(1) as f64;
-    (status.one_way as f64 + LATENCY_FLOOR) * (1.0 + utilization)
+    (status.one_way_latency as f64 + LATENCY_FLOOR) * (1.0 + utilization)
         / (1.0 - utilization.min(MAX_UTILIZATION))
 }
 
--- a/crates/linenthread-link/src/server/mod.rs
+++ b/crates/linenthread-link/src/server/mod.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns the number of retained sessions, connected or not.
-    pub fn sessions(&self) -> usize {
+    pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
--- a/crates/linenthread-link/tests/routing.rs
+++ b/crates/linenthread-link/tests/routing.rs
@@ -7,7 +7,7 @@
 fn link(is_usable: bool, one_way: TenthMillis, in_flight: u64) -> Option<LinkStatus> {
     Some(LinkStatus {
         is_usable,
-        one_way,
+        one_way_latency: one_way,
         in_flight,
         capacity: 100,
     })
--- a/crates/linenthread-node/tests/platform_client.rs
+++ b/crates/linenthread-node/tests/platform_client.rs
@@ -12,7 +12,7 @@
 use linenthread_consensus::Epoch;
 use linenthread_control::{PlatformCall, PlatformCallId, PlatformOutcome};
 use linenthread_dataplane::clock;
-use linenthread_fakes::PATIENCE;
+use linenthread_fakes::EVENT_TIMEOUT;
 use linenthread_fakes::platform::{
     ConnectionEnd, FakePlatform, PlatformLog, PlatformMode, PlatformRules,
 };
@@ -67,7 +67,8 @@
 /// Waits until the platform's log satisfies the condition.
 async fn wait_for(platform: &Arc<FakePlatform>, is_expected: fn(&PlatformLog) -> bool) {
     let platform = platform.clone();
-    let waiting = tokio::task::spawn_blocking(move || platform.wait_until(PATIENCE, is_expected));
+    let waiting =
+        tokio::task::spawn_blocking(move || platform.wait_until(EVENT_TIMEOUT, is_expected));
     assert!(
         waiting.await.unwrap(),
         "timeout while waiting for the platform's log"
@@ -113,7 +114,7 @@
     platform.set_mode(PlatformMode::Healthy);
     assert_eq!(send_to(&platform, 12).await, PlatformOutcome::Accepted);
     assert_eq!(send_to(&platform, 12).await, PlatformOutcome::Busy);
-    assert_eq!(platform.log().over_rate, 1);
+    assert_eq!(platform.log().rate_limited_calls, 1);
 }
 
 #[tokio::test]
@@ -199,7 +200,7 @@
     platform.set_mode(mode);
     let call = call_with_fence(12);
     let arrival = async {
-        wait_for(&platform, |log| log.received == 1).await;
+        wait_for(&platform, |log| log.received_requests == 1).await;
         tokio::time::pause();
     };
     let (outcome, ()) = tokio::join!(send(platform.address, &call), arrival);
@@ -215,7 +216,7 @@
     let call = call_with_fence(12);
     tokio::select! {
         outcome = send(platform.address, &call) => panic!("{outcome:?}"),
-        () = wait_for(&platform, |log| log.received == 1) => {}
+        () = wait_for(&platform, |log| log.received_requests == 1) => {}
     }
     wait_for_end(&platform, ConnectionEnd::Reset).await;
 }
--- a/crates/linenthread-node/tests/system.rs
+++ b/crates/linenthread-node/tests/system.rs
@@ -90,7 +90,7 @@
         .collect();
     assert_eq!(backends, BTreeSet::from(BACKENDS));
     let ran = |r: &linenthread_demo::Replica| {
-        r.received()
+        r.received_requests()
             .iter()
             .any(|r| r.attempt == attempt && r.path == "/all/x?y=1")
     };
@@ -335,6 +335,6 @@
         cluster
             .replicas
             .iter()
-            .all(|r| r.received().iter().all(|ran| ran.attempt != "q"))
+            .all(|r| r.received_requests().iter().all(|ran| ran.attempt != "q"))
     );
 }
--- a/crates/linenthread-service/src/config.rs
+++ b/crates/linenthread-service/src/config.rs
@@ -106,7 +106,7 @@
     /// The seed of all random numbers of the process.
     pub seed: u64,
     /// The number of file descriptors that the process may use.
-    pub sockets: usize,
+    pub max_file_descriptors: usize,
     /// The replicas to use until service discovery responds.
     pub cached_membership: membership::MembershipList,
     /// Settings of the decision module.
@@ -169,7 +169,7 @@
             listen: fields.address("listen")?,
             discovery: fields.address("discovery")?,
             seed: u64::from_str_radix(seed, 16).context(SeedSnafu)?,
-            sockets: parse_sockets(sockets).context(TooFewSocketsSnafu)?,
+            max_file_descriptors: parse_sockets(sockets).context(TooFewSocketsSnafu)?,
             cached_membership: membership::from_value(fields.value("known")?, replica_groups)
                 .context(MembersSnafu)?,
             cluster: terms::cluster_config(settings).context(SettingsSnafu)?,
@@ -191,7 +191,10 @@
         let at_next_start = [
             ("name", new.name != self.name),
             ("listen", new.listen != self.listen),
-            ("limits.sockets", new.sockets != self.sockets),
+            (
+                "limits.sockets",
+                new.max_file_descriptors != self.max_file_descriptors,
+            ),
             (
                 "settings",
                 new.coordinator != self.coordinator || new.cluster != self.cluster,
--- a/crates/linenthread-service/src/demo/programs.rs
+++ b/crates/linenthread-service/src/demo/programs.rs
@@ -6,8 +6,8 @@
 
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
-    Behavior, IndexSettings, RowReplicas, ServiceDiscovery, SubRequest, Treatment, config_of,
-    member, membership,
+    Behavior, IndexSettings, RowReplicas, ScriptedBehavior, ServiceDiscovery, SubRequest,
+    config_with_indexes, member, membership,
 };
 use oorandom::Rand64;
 use serde_json::Value;
@@ -81,7 +81,7 @@
 fn start_replicas(seed: u64) -> String {
     let treatment = |sub_request: &SubRequest| {
         let is_late = sub_request.shard == LATE_SHARD && sub_request.text == "pledges";
-        Treatment {
+        ScriptedBehavior {
             delay: if is_late { LATE_DELAY } else { NORMAL_DELAY },
             behavior: Behavior::Respond,
         }
@@ -103,7 +103,7 @@
     };
     let indexes = ["history", "pledges", "charities"].map(index);
     let discovery = ServiceDiscovery::start(known_members.to_owned());
-    let config = config_of(
+    let config = config_with_indexes(
         discovery.address,
         known_members,
         &indexes,
--- a/crates/linenthread-service/src/demo/zones.rs
+++ b/crates/linenthread-service/src/demo/zones.rs
@@ -54,13 +54,13 @@
     let mut rig = Rig::start_all(exe, config);
     rig.start_clients(25);
     rig.wait_until_serving(&[0, 1, 2], 20);
-    let since = rig.executed();
+    let since = rig.execution_count();
     rig.wait_until_serving(&[0, 1, 2], 40);
     println!("All use one routing table; sub-requests stay in the zones that hold their shards:");
     print_flows(&rig, &names, since);
     lose_zone(&mut rig, &names, LOST_ZONE);
     restore_zone(&mut rig, &names, LOST_ZONE);
-    let violations = rig.check();
+    let violations = rig.stop_and_check();
     println!(
         "{} queries, {} violations.",
         rig.outcomes().len(),
@@ -77,9 +77,9 @@
         names[lost]
     );
     let began = Instant::now();
-    for node in rig.zone(lost) {
+    for node in rig.nodes_in_zone(lost) {
         rig.network.set_down(node, true);
-        if node < rig.count() {
+        if node < rig.process_count() {
             rig.kill(node, false);
         }
     }
@@ -91,7 +91,7 @@
         "After {:.1} s all others use a routing table without it:",
         began.elapsed().as_secs_f64()
     );
-    let since = rig.executed();
+    let since = rig.execution_count();
     rig.wait_until_serving(&[0, 1], 30);
     print_flows(rig, names, since);
     println!(
@@ -105,9 +105,9 @@
     let from = rig.log_position(0);
     println!("{} is started again.", names[lost]);
     let began = Instant::now();
-    for node in rig.zone(lost) {
+    for node in rig.nodes_in_zone(lost) {
         rig.network.set_down(node, false);
-        if node < rig.count() {
+        if node < rig.process_count() {
             rig.start(node);
         }
     }
--- a/crates/linenthread-service/src/fleet/member.rs
+++ b/crates/linenthread-service/src/fleet/member.rs
@@ -25,7 +25,7 @@
     LogSnafu, NotConfiguredSnafu, NotVoterSnafu, OpenSnafu, SocketSnafu, VoterDirectoryError,
     VoterDirectorySnafu,
 };
-use super::{FromFleet, LEAVE_GRACE, MemberConfig, Sockets, StartError, ToFleet};
+use super::{FleetRequest, FleetUpdate, LEAVE_GRACE, MemberConfig, Sockets, StartError};
 use crate::clock::{Clock, to_tenths};
 use crate::log::LogRateLimit;
 
@@ -45,7 +45,7 @@
     pub(super) fleet: RefCell<Fleet<Directory>>,
     pub(super) udp: UdpSocket,
     pub(super) connections: RefCell<BTreeMap<ConnectionId, Rc<Connection>>>,
-    pub(super) from_fleet: mpsc::UnboundedSender<FromFleet>,
+    pub(super) from_fleet: mpsc::UnboundedSender<FleetUpdate>,
     woken: Notify,
     pub(super) log_limit: LogRateLimit,
     pub(super) connection_log_limit: LogRateLimit,
@@ -118,7 +118,7 @@
     pub(super) fn new(
         config: MemberConfig,
         clock: Clock,
-        from_fleet: mpsc::UnboundedSender<FromFleet>,
+        from_fleet: mpsc::UnboundedSender<FleetUpdate>,
         sockets: Sockets,
     ) -> Result<Member, StartError> {
         let mut actions = Vec::new();
@@ -158,7 +158,7 @@
     }
 
     /// Runs the event loop until a message to leave is received or the sender is dropped.
-    pub(super) async fn run(self, mut received: mpsc::UnboundedReceiver<ToFleet>) {
+    pub(super) async fn run(self, mut received: mpsc::UnboundedReceiver<FleetRequest>) {
         info!(
             voter = self.0.fleet.borrow().stage().is_some(),
             "fleet member started"
@@ -168,11 +168,11 @@
                 () = sleep_until(self.0.clock.at(self.wake_at())) => {}
                 () = self.0.woken.notified() => {}
                 message = received.recv() => match message {
-                    Some(ToFleet::Observed(report)) => {
+                    Some(FleetRequest::Report(report)) => {
                         self.0.observations.borrow_mut().add(&report.observations);
                         self.0.topology.replace(Some(report.topology));
                     }
-                    Some(ToFleet::Leave) | None => {
+                    Some(FleetRequest::Leave) | None => {
                         self.step(Fleet::leave);
                         sleep(LEAVE_GRACE).await;
                         return;
@@ -240,7 +240,7 @@
                 }
             }
             // A datagram that cannot be sent counts as lost in the network.
-            FleetAction::Datagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
+            FleetAction::SendDatagram { to, bytes } => drop(self.0.udp.try_send_to(&bytes, to)),
             FleetAction::Committed(value) => self.on_committed(value),
             FleetAction::MemberUp(node) => {
                 info!(member = node.name, zone = node.zone, "fleet member up");
--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -41,15 +41,15 @@
 const LEAVE_GRACE: Duration = Duration::from_millis(150);
 
 /// A message to the fleet's thread.
-pub(crate) enum ToFleet {
+pub(crate) enum FleetRequest {
     /// This process's observations of the zones.
-    Observed(ZoneReport),
+    Report(ZoneReport),
     /// Leave the fleet and end the thread.
     Leave,
 }
 
 /// A message from the fleet's thread.
-pub(crate) enum FromFleet {
+pub(crate) enum FleetUpdate {
     /// A routing table was committed with this number in the fleet's log.
     Table { number: u64, table: RoutingTable },
 }
@@ -69,15 +69,15 @@
 
 /// Handle to the fleet's thread.
 pub(crate) struct FleetHandle {
-    pub sender: mpsc::UnboundedSender<ToFleet>,
-    ended: blocking::Receiver<()>,
+    pub sender: mpsc::UnboundedSender<FleetRequest>,
+    thread_exit: blocking::Receiver<()>,
 }
 
 impl FleetHandle {
     /// Leaves the fleet and waits until the thread has ended, for four times [`LEAVE_GRACE`] at most.
     pub(crate) fn leave(&self) {
-        self.sender.send(ToFleet::Leave).ok();
-        self.ended.recv_timeout(LEAVE_GRACE * 4).ok();
+        self.sender.send(FleetRequest::Leave).ok();
+        self.thread_exit.recv_timeout(LEAVE_GRACE * 4).ok();
     }
 }
 
@@ -100,7 +100,7 @@
 pub(crate) fn start(
     config: MemberConfig,
     clock: Clock,
-    from_fleet: mpsc::UnboundedSender<FromFleet>,
+    from_fleet: mpsc::UnboundedSender<FleetUpdate>,
 ) -> Result<FleetHandle, StartError> {
     let address = config.fleet.listen;
     let sockets = Sockets::bind(address).context(ListenSnafu { address })?;
@@ -132,7 +132,10 @@
         .spawn(run)
         .context(SpawnSnafu)?;
     started.recv().map_err(|_| StartError::ThreadExited)??;
-    Ok(FleetHandle { sender, ended })
+    Ok(FleetHandle {
+        sender,
+        thread_exit: ended,
+    })
 }
 
 /// The sockets of a member, both bound to the same address.
--- a/crates/linenthread-service/src/fleet/zone_decisions.rs
+++ b/crates/linenthread-service/src/fleet/zone_decisions.rs
@@ -10,7 +10,7 @@
 
 use super::member::{Member, REPORT_INTERVAL, unix_ms};
 use super::orders::{OBSERVATIONS, ORDER, Order, Orders, ZoneChange};
-use super::{FromFleet, ORDERS_TOPIC, TABLE_TOPIC};
+use super::{FleetUpdate, ORDERS_TOPIC, TABLE_TOPIC};
 use crate::clock::to_tenths;
 
 /// Maximum number of orders that wait for the leader's next decision. Further orders are dropped; their senders retry.
@@ -41,7 +41,7 @@
     orders.rejection.clear();
     let zone = order.zone;
     match order.change {
-        ZoneChange::Drain => match topology.may_drain(&zone, &orders.drained) {
+        ZoneChange::Drain => match topology.check_drain(&zone, &orders.drained) {
             Ok(()) => drop(orders.drained.insert(zone)),
             Err(error) => orders.rejection = error.to_string(),
         },
@@ -63,7 +63,7 @@
         } = committed;
         match topic.as_str() {
             TABLE_TOPIC => match RoutingTable::decode(&value) {
-                Ok(table) => drop(self.0.from_fleet.send(FromFleet::Table { number, table })),
+                Ok(table) => drop(self.0.from_fleet.send(FleetUpdate::Table { number, table })),
                 Err(error) => warn!("committed routing table does not decode: {error}"),
             },
             ORDERS_TOPIC => {
--- a/crates/linenthread-service/src/serve/fleet_member.rs
+++ b/crates/linenthread-service/src/serve/fleet_member.rs
@@ -10,7 +10,7 @@
 
 use crate::config::Config;
 use crate::coordinator_driver::CoordinatorDriver;
-use crate::fleet::{self, FleetHandle, FromFleet, MemberConfig, StartError, ToFleet};
+use crate::fleet::{self, FleetHandle, FleetRequest, FleetUpdate, MemberConfig, StartError};
 use crate::installation::WithSecrets;
 
 /// Interval at which observations are sent to the fleet's thread.
@@ -53,21 +53,21 @@
 
 async fn exchange(
     driver: CoordinatorDriver,
-    to_fleet: mpsc::UnboundedSender<ToFleet>,
-    mut received: mpsc::UnboundedReceiver<FromFleet>,
+    to_fleet: mpsc::UnboundedSender<FleetRequest>,
+    mut received: mpsc::UnboundedReceiver<FleetUpdate>,
 ) {
     let mut observations = interval(OBSERVATION_INTERVAL);
     loop {
         tokio::select! {
             _ = observations.tick() => {
                 if let Some(report) = driver.report_zones()
-                    && to_fleet.send(ToFleet::Observed(report)).is_err()
+                    && to_fleet.send(FleetRequest::Report(report)).is_err()
                 {
                     warn!("fleet thread ended, deciding without the fleet");
                     return;
                 }
             }
-            Some(FromFleet::Table { number, table }) = received.recv() => {
+            Some(FleetUpdate::Table { number, table }) = received.recv() => {
                 sleep(time_until(table.valid_from_ms)).await;
                 let rows = table.rows.clone();
                 if driver.apply_routing_table(table) {
--- a/crates/linenthread-service/src/serve/mod.rs
+++ b/crates/linenthread-service/src/serve/mod.rs
@@ -21,7 +21,7 @@
 use crate::clock;
 use crate::config::Config;
 use crate::coordinator_driver::CoordinatorDriver;
-use crate::fleet::{self, FleetHandle, ToFleet};
+use crate::fleet::{self, FleetHandle, FleetRequest};
 use crate::frontends::http::HttpFrontend;
 use crate::frontends::link::Gateway;
 use crate::frontends::listener;
@@ -180,7 +180,7 @@
     /// from now on.
     async fn shut_down(self, listener: TcpListener) {
         if let Some(fleet) = &self.fleet {
-            fleet.sender.send(ToFleet::Leave).ok();
+            fleet.sender.send(FleetRequest::Leave).ok();
         }
         let drain_links = async {
             if let Some(gateway) = &self.gateway {
--- a/crates/linenthread-service/tests/link.rs
+++ b/crates/linenthread-service/tests/link.rs
@@ -7,7 +7,8 @@
 
 use linenthread_fakes::proxy::Direction;
 use linenthread_fakes::sites::{
-    LoadReport, Sites, SitesConfig, SteadyLoad, Verdict, disconnect_everywhere, query_during_fault,
+    LoadReport, QuerySummary, Sites, SitesConfig, SteadyLoad, disconnect_everywhere,
+    query_during_fault,
 };
 use linenthread_fakes::{member, membership};
 use oorandom::Rand64;
@@ -17,7 +18,7 @@
 #[test]
 fn queries_cross_the_link_and_resume_after_a_disconnection() {
     let mut sites = Sites::start(EXE, SitesConfig::default());
-    let mut verdict = Verdict::default();
+    let mut verdict = QuerySummary::default();
     for _ in 0..3 {
         sites.query("find", &mut verdict, "whole");
         sites.query("order", &mut verdict, "whole");
@@ -62,7 +63,9 @@
         interval: Duration::from_millis(15),
         duration: Duration::from_secs(4),
     };
-    let LoadReport { verdict, .. } = query_during_fault(&mut sites, load, |sites| {
+    let LoadReport {
+        summary: verdict, ..
+    } = query_during_fault(&mut sites, load, |sites| {
         for fault_index in 0..FAULT_COUNT {
             let may_kill = fault_index == KILL_INDEX && seed.is_multiple_of(4);
             inject_fault(sites, &mut rng, may_kill);
@@ -101,9 +104,9 @@
 
 /// Drops the bytes of one direction for some time, then disconnects, as nothing valid can follow the gap in the stream.
 fn lose_bytes(sites: &Sites, direction: Direction, duration: Duration) {
-    sites.proxy.silence(direction, true);
+    sites.proxy.set_silent(direction, true);
     sleep(duration);
-    sites.proxy.silence(direction, false);
+    sites.proxy.set_silent(direction, false);
     sites.proxy.disconnect();
 }
 
@@ -142,7 +145,7 @@
         ..SitesConfig::default()
     };
     let mut sites = Sites::start(EXE, config);
-    let mut verdict = Verdict::default();
+    let mut verdict = QuerySummary::default();
     for _ in 0..20 {
         sites.query("find", &mut verdict, "before");
     }
@@ -178,7 +181,7 @@
 /// only after the co-ordinator's next reset of its observations, within 10 s.
 fn query_until_received(
     sites: &mut Sites,
-    verdict: &mut Verdict,
+    verdict: &mut QuerySummary,
     replica: usize,
     before: usize,
 ) -> usize {
@@ -208,7 +211,10 @@
         interval: request_interval,
         duration: Duration::from_secs(2),
     };
-    let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
+    let LoadReport {
+        summary: verdict,
+        results,
+    } = query_during_fault(&mut sites, load, |sites| {
         sleep(Duration::from_millis(500));
         sites.gateway.signal("-KILL");
     });
--- a/crates/linenthread-service/tests/merged/cluster.rs
+++ b/crates/linenthread-service/tests/merged/cluster.rs
@@ -4,8 +4,8 @@
 
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
 use linenthread_fakes::{
-    IndexSettings, MergedResponse, RowReplicas, Service, ServiceDiscovery, SubRequest, Treatment,
-    config_of, member, membership,
+    IndexSettings, MergedResponse, RowReplicas, ScriptedBehavior, Service, ServiceDiscovery,
+    SubRequest, config_with_indexes, member, membership,
 };
 use serde_json::Value;
 
@@ -28,7 +28,7 @@
     pub(crate) fn start(
         rows: RowStore,
         max_rows: usize,
-        treatment: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
+        treatment: impl FnMut(&SubRequest) -> ScriptedBehavior + Send + 'static,
     ) -> Cluster {
         Cluster::start_with(SOFT_DEADLINE, rows, max_rows, INSTALLATION, treatment)
     }
@@ -39,7 +39,7 @@
         rows: RowStore,
         max_rows: usize,
         installation: &str,
-        treatment: impl FnMut(&SubRequest) -> Treatment + Send + 'static,
+        treatment: impl FnMut(&SubRequest) -> ScriptedBehavior + Send + 'static,
     ) -> Cluster {
         let replicas = RowReplicas::start(3, rows, max_rows, treatment);
         let members = replicas
@@ -121,5 +121,5 @@
         index("charities"),
         non_idempotent,
     ];
-    config_of(discovery.address, known, &indexes, 3, SHARDS)
+    config_with_indexes(discovery.address, known, &indexes, 3, SHARDS)
 }
--- a/crates/linenthread-service/tests/merged/faults.rs
+++ b/crates/linenthread-service/tests/merged/faults.rs
@@ -4,7 +4,7 @@
 
 use linenthread_fakes::checker::{self, PagedRead};
 use linenthread_fakes::row_store::{Donation, RowStore};
-use linenthread_fakes::{Behavior, MergedResponse, SubRequest, Treatment};
+use linenthread_fakes::{Behavior, MergedResponse, ScriptedBehavior, SubRequest};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -26,7 +26,7 @@
 
 /// Chooses for each sub-request a random delay, which rarely exceeds the time that a query waits, and sometimes a
 /// fault.
-fn faulty(mut rng: Rand64) -> impl FnMut(&SubRequest) -> Treatment + Send {
+fn faulty(mut rng: Rand64) -> impl FnMut(&SubRequest) -> ScriptedBehavior + Send {
     move |_| {
         let behavior = match rng.rand_range(0..100) {
             0..2 => Behavior::RespondTwice,
@@ -39,7 +39,7 @@
             _ => Behavior::Respond,
         };
         let delay = Duration::from_micros(rng.rand_range(0..8_000));
-        Treatment { delay, behavior }
+        ScriptedBehavior { delay, behavior }
     }
 }
 
@@ -181,7 +181,8 @@
     fn add_row(&mut self, shards: &[usize]) -> Donation {
         let shard = shards[random_index(&mut self.rng, shards.len())];
         let rng = &mut self.rng;
-        self.cluster.change_rows(|rows| rows.add(rng, shard))
+        self.cluster
+            .change_rows(|rows| rows.add_random_row(rng, shard))
     }
 }
 
--- a/crates/linenthread-service/tests/merged/main.rs
+++ b/crates/linenthread-service/tests/merged/main.rs
@@ -11,7 +11,7 @@
 
 use linenthread_fakes::checker::{self, PagedRead, ShardWeight};
 use linenthread_fakes::row_store::{INSTALLATION, RowStore};
-use linenthread_fakes::{Behavior, MergedResponse, SubRequest, Treatment};
+use linenthread_fakes::{Behavior, MergedResponse, ScriptedBehavior, SubRequest};
 use oorandom::Rand64;
 use serde_json::{Value, json};
 
@@ -35,8 +35,8 @@
         .collect()
 }
 
-fn respond_at_once(_: &SubRequest) -> Treatment {
-    Treatment::at_once(Behavior::Respond)
+fn respond_at_once(_: &SubRequest) -> ScriptedBehavior {
+    ScriptedBehavior::immediate(Behavior::Respond)
 }
 
 #[test]
@@ -47,7 +47,7 @@
         } else {
             Behavior::Respond
         };
-        Treatment::at_once(behavior)
+        ScriptedBehavior::immediate(behavior)
     };
     let rows = RowStore::new(&mut Rand64::new(11), SHARDS, 9);
     let cluster = Cluster::start(rows, 50, unreadable);
@@ -76,7 +76,7 @@
     let recorded = received.clone();
     let record = move |sub_request: &SubRequest| {
         recorded.lock().unwrap().push(sub_request.id.clone());
-        Treatment::at_once(Behavior::Respond)
+        ScriptedBehavior::immediate(Behavior::Respond)
     };
     let rows = twelve_rows_on_two_shards();
     let installation = INSTALLATION.replace("index=\"history\"", "index=\"order\"");
@@ -127,6 +127,6 @@
 fn twelve_rows_on_two_shards() -> RowStore {
     let mut rows = RowStore::new(&mut Rand64::new(13), SHARDS, 0);
     let mut rng = Rand64::new(1);
-    (0..12).for_each(|n| drop(rows.add(&mut rng, n % 2)));
+    (0..12).for_each(|n| drop(rows.add_random_row(&mut rng, n % 2)));
     rows
 }
--- a/crates/linenthread-service/tests/migrate.rs
+++ b/crates/linenthread-service/tests/migrate.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use linenthread_fakes::{
-    FakeReplicas, IndexSettings, Service, ServiceDiscovery, config_of, member, membership,
+    FakeReplicas, IndexSettings, Service, ServiceDiscovery, config_with_indexes, member, membership,
 };
 use serde_json::{Value, json};
 use tempfile::TempDir;
@@ -52,7 +52,7 @@
     let addresses = replicas.addresses.iter().enumerate();
     let members = addresses.map(|(replica, address)| member(replica, *address, "active"));
     let known = membership(1, true, members.collect());
-    let mut config = config_of("127.0.0.1:9".parse().unwrap(), &known, &[FIND], 4, 6);
+    let mut config = config_with_indexes("127.0.0.1:9".parse().unwrap(), &known, &[FIND], 4, 6);
     let members = config["known"]["members"].as_array_mut().unwrap();
     for (group, member) in members.iter_mut().enumerate() {
         member["cell"] = json!(group);
@@ -199,11 +199,11 @@
     let service = Service::start(EXE, &new);
     let mut client = service.query("find", "m1", &[0, 1]);
     for _ in 0..2 {
-        let sub_request = old.replicas.sub_request();
+        let sub_request = old.replicas.next_sub_request();
         assert_eq!(sub_request.replica / 2, sub_request.shard % 2);
         sub_request.respond("v");
     }
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
 }
 
 #[test]
--- a/crates/linenthread-service/tests/processes.rs
+++ b/crates/linenthread-service/tests/processes.rs
@@ -9,14 +9,14 @@
 fn run_scenario(name: &str) {
     let scenario = scenarios::ALL.iter().find(|s| s.name == name).unwrap();
     let mut rig = (scenario.run)(EXE, 1);
-    let violations = rig.check();
+    let violations = rig.stop_and_check();
     assert!(
         violations.is_empty(),
         "{} violations: {:#?}",
         violations.len(),
         &violations[..violations.len().min(5)]
     );
-    assert!(rig.succeeded() > 40, "{} answered", rig.succeeded());
+    assert!(rig.success_count() > 40, "{} answered", rig.success_count());
 }
 
 #[test]
--- a/crates/linenthread-service/tests/service/client_connections.rs
+++ b/crates/linenthread-service/tests/service/client_connections.rs
@@ -29,9 +29,9 @@
     // A connection that has received a response is kept for longer.
     let mut kept = cluster.query("find", "p2", &[0]);
     cluster.sub_request().respond("v");
-    assert_eq!(kept.status(), 200);
+    assert_eq!(kept.read_status(), 200);
     for (client, text) in &mut clients {
-        let response = client.response();
+        let response = client.read_response();
         assert!(
             response.is_none_or(|response| response.status == 408),
             "after {text:?}"
@@ -40,7 +40,7 @@
     assert!(start.elapsed().as_secs_f64() < 3.0);
     kept.query("find", "p3", &[0]);
     cluster.sub_request().respond("v");
-    assert_eq!(kept.status(), 200);
+    assert_eq!(kept.read_status(), 200);
 }
 
 #[test]
@@ -50,7 +50,7 @@
         .map(|id| {
             let mut client = cluster.query("order", &format!("t{id}"), &[0]);
             cluster.sub_request().respond("v");
-            assert_eq!(client.status(), 200);
+            assert_eq!(client.read_status(), 200);
             client
         })
         .collect();
@@ -58,12 +58,12 @@
     assert!(
         idle_clients
             .drain(..10)
-            .all(|mut client| client.response().is_none())
+            .all(|mut client| client.read_response().is_none())
     );
     for (n, client) in idle_clients.iter_mut().enumerate().skip(10) {
         client.query("order", &format!("u{n}"), &[0]);
         cluster.sub_request().respond("v");
-        assert_eq!(client.status(), 200);
+        assert_eq!(client.read_status(), 200);
     }
 }
 
@@ -82,13 +82,13 @@
     let mut client = cluster.service.connect();
     assert!(
         incomplete_clients[0]
-            .response()
+            .read_response()
             .is_none_or(|response| response.status == 400),
         "the oldest connection is closed to admit the new one"
     );
     client.query("find", "v2", &[0]);
     cluster.sub_request().respond("v");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
 }
 
 #[test]
@@ -102,17 +102,17 @@
         let mut client = cluster.service.connect();
         client.send(&format!("{}{next}", request("order", "q0", &[0])));
         cluster.sub_request().respond("v");
-        assert_eq!(client.status(), 200);
+        assert_eq!(client.read_status(), 200);
         let mut client = cluster.service.connect();
         client.send(&request("order", "q1", &[0]));
         let sub_request = cluster.sub_request();
         client.send(&next);
         let mut other = cluster.query("order", "q3", &[0]);
         cluster.sub_request().respond("v");
-        assert_eq!(other.status(), 200);
+        assert_eq!(other.read_status(), 200);
         sub_request.respond("v");
-        assert_eq!(client.status(), 200);
-        let rest: Vec<u16> = iter::from_fn(|| client.response())
+        assert_eq!(client.read_status(), 200);
+        let rest: Vec<u16> = iter::from_fn(|| client.read_response())
             .map(|response| response.status)
             .collect();
         assert!(
@@ -128,9 +128,9 @@
     let mut idle: Vec<_> = (0..80).map(|_| cluster.service.connect()).collect();
     let mut client = cluster.query("find", "i1", &[0]);
     cluster.sub_request().respond("v");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
     assert!(
-        idle[0].response().is_none(),
+        idle[0].read_response().is_none(),
         "the connection idle for longest was closed"
     );
 }
--- a/crates/linenthread-service/tests/service/cluster.rs
+++ b/crates/linenthread-service/tests/service/cluster.rs
@@ -46,6 +46,6 @@
 
     /// Waits for the next sub-request that a replica receives.
     pub(crate) fn sub_request(&self) -> SubRequest {
-        self.replicas.sub_request()
+        self.replicas.next_sub_request()
     }
 }
--- a/crates/linenthread-service/tests/service/configuration.rs
+++ b/crates/linenthread-service/tests/service/configuration.rs
@@ -33,7 +33,7 @@
             assert_eq!(sub_request.replica, 1, "the draining replica gets none");
             sub_request.respond("v");
         }
-        assert_eq!(client.status(), 200);
+        assert_eq!(client.read_status(), 200);
     }
 }
 
@@ -45,8 +45,8 @@
     let service = Service::start(EXE, &config(silent.local_addr().unwrap(), &known));
     service.wait_for_log("service discovery failed");
     let mut client = service.query("find", "j1", &[0]);
-    replicas.sub_request().respond("v");
-    assert_eq!(client.status(), 200);
+    replicas.next_sub_request().respond("v");
+    assert_eq!(client.read_status(), 200);
 }
 
 #[test]
@@ -70,7 +70,7 @@
     let good = config(old.address, &known(9, "active"));
     let mut service = Service::start(EXE, &good);
     let mut waiting = service.query("order", "n1", &[0]);
-    let sub_request = replicas.sub_request();
+    let sub_request = replicas.next_sub_request();
     service.wait_for_log("revision=9");
     for bad in ["{", &good.to_string().replace("limits", "limit")] {
         service.reload(bad);
@@ -87,20 +87,20 @@
     );
     service.wait_for_log("revision=2");
     assert!(
-        old.watch_is_closed(),
+        old.wait_until_watch_closed(),
         "the watch at the old address is closed"
     );
     for id in 0..4 {
         let mut client = service.query("find", &format!("n2{id}"), &[0, 1]);
         for _ in 0..2 {
-            let sub_request = replicas.sub_request();
+            let sub_request = replicas.next_sub_request();
             assert_eq!(sub_request.replica, 1, "the new address's list is used");
             sub_request.respond("v");
         }
-        assert_eq!(client.status(), 200);
+        assert_eq!(client.read_status(), 200);
     }
     sub_request.respond("v");
-    assert_eq!(waiting.status(), 200);
+    assert_eq!(waiting.read_status(), 200);
     service.signal("-TERM");
     service.wait_for_log("shutting down");
     service.signal("-HUP");
--- a/crates/linenthread-service/tests/service/queries.rs
+++ b/crates/linenthread-service/tests/service/queries.rs
@@ -34,7 +34,7 @@
         );
         sub_request.respond("a second response, which is ignored");
     }
-    let ClientResponse { status, body, .. } = client.response().unwrap();
+    let ClientResponse { status, body, .. } = client.read_response().unwrap();
     let text = r#"{"finished":true,"found":[{"bucket":0,"item":"value of 0"},{"bucket":3,"item":"value of 3"}]}"#;
     assert_eq!((status, body.as_str()), (200, text));
     // The connection stays open, and a body may be chunked.
@@ -48,7 +48,7 @@
     let sub_request = cluster.sub_request();
     assert_eq!(sub_request.id, "80.1");
     sub_request.respond("once more");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
 }
 
 #[test]
@@ -60,12 +60,12 @@
     let second = cluster.sub_request();
     assert_ne!(first.replica, second.replica);
     second.respond("v");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
     let mut client = cluster.query("order", "a2", &[2]);
     cluster.sub_request().disconnect();
-    assert_eq!(client.status(), 502, "the sub-request may have run");
+    assert_eq!(client.read_status(), 502, "the sub-request may have run");
     assert_eq!(
-        cluster.replicas.remaining(),
+        cluster.replicas.drain_events(),
         [""; 0],
         "it is not sent again"
     );
@@ -87,8 +87,8 @@
     let service = Service::start(EXE, &config(discovery.address, &known));
     for id in 0..8 {
         let mut client = service.query("order", &format!("c{id}"), &[0, 1, 2, 3]);
-        (0..4).for_each(|_| replicas.sub_request().respond("v"));
-        assert_eq!(client.status(), 200);
+        (0..4).for_each(|_| replicas.next_sub_request().respond("v"));
+        assert_eq!(client.read_status(), 200);
     }
     service.wait_for_log("cannot connect");
 }
@@ -100,13 +100,13 @@
     let sub_request = cluster.sub_request();
     let ClientResponse {
         status, headers, ..
-    } = client.response().unwrap();
+    } = client.read_response().unwrap();
     assert_eq!(status, 503);
     assert!(
         headers.iter().any(|h| h.starts_with("retry-after: ")),
         "{headers:?}"
     );
-    assert_eq!(cluster.replicas.cancelled(), sub_request.id);
+    assert_eq!(cluster.replicas.next_cancelled_id(), sub_request.id);
     cluster.service.wait_for_log("replica connection timed out");
 }
 
@@ -115,13 +115,13 @@
     let cluster = Cluster::start_with(1, "/settings/allowed/cancel", false.into());
     let mut client = cluster.query("swift", "k1", &[1]);
     let late = cluster.sub_request();
-    assert_eq!(client.status(), 503);
+    assert_eq!(client.read_status(), 503);
     cluster.service.wait_for_log("replica connection timed out");
     late.respond("too late");
     let mut client = cluster.query("find", "k2", &[1]);
     cluster.sub_request().respond("v");
-    assert_eq!(client.status(), 200);
-    assert_eq!(cluster.replicas.remaining(), [""; 0]);
+    assert_eq!(client.read_status(), 200);
+    assert_eq!(cluster.replicas.drain_events(), [""; 0]);
 }
 
 #[test]
@@ -130,12 +130,12 @@
     let client = cluster.query("find", "e1", &[1]);
     assert_eq!(cluster.sub_request().id, "e1.1");
     drop(client);
-    assert_eq!(cluster.replicas.cancelled(), "e1.1");
+    assert_eq!(cluster.replicas.next_cancelled_id(), "e1.1");
     let mut client = cluster.query("find", "e2", &[1]);
     let sub_request = cluster.sub_request();
     assert_eq!(sub_request.id, "e2.1", "e1.1 is not sent again");
     sub_request.respond("v");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
 }
 
 const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n";
@@ -149,10 +149,10 @@
     let mut idle = cluster.service.connect();
     let mut incomplete = cluster.service.connect();
     incomplete.send(HEALTH_REQUEST);
-    assert_eq!(incomplete.status(), 200);
+    assert_eq!(incomplete.read_status(), 200);
     incomplete.send("POST /find HTTP/1.1\r\nHost: s\r\n");
     kept.send(HEALTH_REQUEST);
-    assert_eq!(kept.status(), 200);
+    assert_eq!(kept.read_status(), 200);
     let next = request("find", "g2", &[0]);
     let (begun, rest) = next.split_at(30);
     kept.send(begun);
@@ -160,26 +160,28 @@
     cluster.service.wait_for_log("shutting down");
     let mut late = cluster.service.connect();
     late.send(HEALTH_REQUEST);
-    assert_eq!(late.status(), 503);
+    assert_eq!(late.read_status(), 503);
     cluster.service.signal("-TERM");
     kept.send(rest);
     cluster.sub_request().respond("v");
     let ClientResponse {
         status, headers, ..
-    } = kept.response().unwrap();
+    } = kept.read_response().unwrap();
     assert_eq!(status, 200);
     assert!(
         headers.contains(&"connection: close".to_owned()),
         "{headers:?}"
     );
     assert!(
-        idle.response().is_none() && kept.response().is_none() && late.response().is_none(),
+        idle.read_response().is_none()
+            && kept.read_response().is_none()
+            && late.read_response().is_none(),
         "idle connections are closed"
     );
     sub_request.respond("v");
-    assert_eq!(waiting.status(), 200);
+    assert_eq!(waiting.read_status(), 200);
     assert!(
-        incomplete.response().is_none(),
+        incomplete.read_response().is_none(),
         "an incomplete request does not delay the shutdown"
     );
     cluster.service.wait_for_log("shutdown complete");
@@ -245,22 +247,22 @@
     for BadRequest { status, text } in bad_requests(&request("find", "h1", &[0, 1])) {
         let mut client = cluster.service.connect();
         client.send(&text);
-        assert_eq!(client.status(), status, "{text:.60}");
+        assert_eq!(client.read_status(), status, "{text:.60}");
     }
-    assert_eq!(cluster.replicas.remaining(), [""; 0]);
+    assert_eq!(cluster.replicas.drain_events(), [""; 0]);
     let mut client = cluster.query("find", "h2", &[0]);
     cluster.sub_request().respond("v");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
 }
 
 #[test]
 fn a_query_id_can_be_reused_only_after_its_query_has_completed() {
     let cluster = Cluster::start(2);
     let mut open = cluster.query("find", "h3", &[0]);
-    assert_eq!(cluster.query("find", "h3", &[0]).status(), 409);
+    assert_eq!(cluster.query("find", "h3", &[0]).read_status(), 409);
     cluster.sub_request().respond("v");
-    assert_eq!(open.status(), 200);
+    assert_eq!(open.read_status(), 200);
     let mut again = cluster.query("find", "h3", &[0]);
     cluster.sub_request().respond("v");
-    assert_eq!(again.status(), 200);
+    assert_eq!(again.read_status(), 200);
 }
--- a/crates/linenthread-service/tests/service/replica_connections.rs
+++ b/crates/linenthread-service/tests/service/replica_connections.rs
@@ -15,12 +15,12 @@
     for id in 0..6 {
         let mut client = cluster.query("order", &format!("r{id}"), &[0]);
         cluster.sub_request().respond("v");
-        assert_eq!(client.status(), 200);
+        assert_eq!(client.read_status(), 200);
         cluster.replicas.closing_on_reuse.store(1, Ordering::SeqCst);
         // Leave the connection idle for some time.
         thread::sleep(Duration::from_millis(80));
     }
-    assert_eq!(cluster.replicas.remaining(), [""; 0]);
+    assert_eq!(cluster.replicas.drain_events(), [""; 0]);
 }
 
 #[test]
@@ -39,14 +39,14 @@
         broken.send_frame(letter, rest);
         let again = cluster.sub_request();
         again.respond("v");
-        assert_eq!(client.status(), 200, "after {rest:?}");
+        assert_eq!(client.read_status(), 200, "after {rest:?}");
         cluster.service.wait_for_log("replica connection ended");
         // Later bytes on the connection are ignored. A non-idempotent sub-request fails, as it may have run.
         broken.send_bytes(b"\0\0\0\x0fEb1.2 hit 1 -\nv");
         let mut client = cluster.query("order", "b2", &[2]);
         cluster.sub_request().send_frame(letter, rest);
-        assert_eq!(client.status(), 502, "after {rest:?}");
-        assert_eq!(cluster.replicas.remaining(), [""; 0]);
+        assert_eq!(client.read_status(), 502, "after {rest:?}");
+        assert_eq!(cluster.replicas.drain_events(), [""; 0]);
     }
 }
 
@@ -59,7 +59,7 @@
         .sub_request()
         .send_bytes(b"\0\0\x40\0Eo1.2 hit 1 -\nv");
     cluster.sub_request().respond("v");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
     cluster
         .service
         .wait_for_log("a frame is not complete in time");
@@ -78,7 +78,7 @@
         again
     });
     again.respond("v");
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
 }
 
 #[test]
@@ -87,8 +87,8 @@
     let mut client = cluster.query("find", "o3", &[2]);
     let sub_request = cluster.sub_request();
     sub_request.send_bytes(&[b"\0\0\0\x10Eo3.2 hit 1 -\nvv", &b"\0\0"[..]].concat());
-    assert_eq!(client.status(), 200);
-    assert!(sub_request.is_closed());
+    assert_eq!(client.read_status(), 200);
+    assert!(sub_request.wait_until_closed());
 }
 
 #[test]
@@ -106,7 +106,7 @@
         .for_each(|sub_request| sub_request.respond("v"));
     clients
         .iter_mut()
-        .for_each(|client| assert_eq!(client.status(), 200));
+        .for_each(|client| assert_eq!(client.read_status(), 200));
 }
 
 #[test]
@@ -117,10 +117,10 @@
     let mut unaffected = cluster.query("order", "l7", &[0]);
     let sub_request = cluster.sub_request();
     one.send_frame(b'Z', "?");
-    assert_eq!(client.status(), 502);
-    assert_eq!(cluster.replicas.cancelled(), other.id);
+    assert_eq!(client.read_status(), 502);
+    assert_eq!(cluster.replicas.next_cancelled_id(), other.id);
     sub_request.respond("v");
-    assert_eq!(unaffected.status(), 200);
+    assert_eq!(unaffected.read_status(), 200);
 }
 
 #[test]
@@ -130,8 +130,8 @@
         let mut client = cluster.query("order", id, &[0]);
         let sub_request = cluster.sub_request();
         sub_request.respond("v");
-        assert_eq!(client.status(), 200);
-        assert!(sub_request.is_closed());
+        assert_eq!(client.read_status(), 200);
+        assert!(sub_request.wait_until_closed());
     }
 }
 
@@ -156,5 +156,5 @@
     sub_requests
         .iter()
         .for_each(|sub_request| sub_request.respond("v"));
-    assert_eq!(client.status(), 200);
+    assert_eq!(client.read_status(), 200);
 }
--- a/crates/linenthread-simulation/src/commands/processes.rs
+++ b/crates/linenthread-simulation/src/commands/processes.rs
@@ -77,7 +77,7 @@
     for Scenario { name, run } in chosen {
         for seed in (options.seed..).take(options.rounds) {
             let mut rig = run(program, seed);
-            let violations = rig.check();
+            let violations = rig.stop_and_check();
             for violation in violations.iter().take(MAX_PRINTED_VIOLATIONS_OF_SCENARIO) {
                 println!("violation: {name}, seed {seed}: {violation}");
             }
--- a/crates/linenthread-simulation/src/fleet/execution.rs
+++ b/crates/linenthread-simulation/src/fleet/execution.rs
@@ -81,7 +81,7 @@
                         fleet.on_closed(now, connection, actions);
                     });
                 }
-                FleetAction::Datagram { to, bytes } => {
+                FleetAction::SendDatagram { to, bytes } => {
                     self.send_datagram(index, process::index(to), bytes);
                 }
                 FleetAction::Committed(committed) => self.on_committed(index, committed),
--- a/crates/linenthread-simulation/src/fleet/invariants.rs
+++ b/crates/linenthread-simulation/src/fleet/invariants.rs
@@ -53,7 +53,7 @@
         let Some(fleet) = &self.processes[index].fleet else {
             return Some(format!("{} does not run", name(index)));
         };
-        if index < self.voters && !fleet.voter().is_some_and(Voter::votes) {
+        if index < self.voters && !fleet.voter().is_some_and(Voter::is_voting_member) {
             return Some(format!(
                 "{} does not vote: {:?}",
                 name(index),
@@ -66,8 +66,11 @@
 
     fn unknown_members(&self, index: ProcessIndex, fleet: &Fleet<Disk>) -> Option<String> {
         let count = self.processes.len();
-        let known: BTreeSet<&str> = fleet.alive().map(|member| member.name.as_str()).collect();
-        let others = fleet.alive().count();
+        let known: BTreeSet<&str> = fleet
+            .alive_members()
+            .map(|member| member.name.as_str())
+            .collect();
+        let others = fleet.alive_members().count();
         if others + 1 == count {
             return None;
         }
--- a/crates/linenthread-simulation/src/fleet/process.rs
+++ b/crates/linenthread-simulation/src/fleet/process.rs
@@ -139,7 +139,7 @@
     /// Reports whether it runs and, by its own knowledge, its voter votes.
     pub(super) fn votes(&self) -> bool {
         let voter = self.fleet.as_ref().and_then(Fleet::voter);
-        voter.is_some_and(Voter::votes)
+        voter.is_some_and(Voter::is_voting_member)
     }
 
     /// Returns the incarnation of its voter.
--- a/crates/linenthread-simulation/src/link_speed.rs
+++ b/crates/linenthread-simulation/src/link_speed.rs
@@ -8,7 +8,7 @@
 
 use linenthread_fakes::proxy::Direction;
 use linenthread_fakes::sites::{
-    LoadReport, QueryResult, Sites, SitesConfig, SteadyLoad, Verdict, query_during_fault,
+    LoadReport, QueryResult, QuerySummary, Sites, SitesConfig, SteadyLoad, query_during_fault,
 };
 use linenthread_fakes::{Client, request_with};
 use serde_json::Value;
@@ -40,7 +40,7 @@
 /// Makes a query and returns the status of the response, if one arrives.
 fn query(client: &mut Client, index: &str, id: &str) -> Option<u16> {
     client.query(index, id, &[1]);
-    client.response().map(|response| response.status)
+    client.read_response().map(|response| response.status)
 }
 
 /// Measures the latency of queries made alternately at the gateway's own ingress and across the link.
@@ -147,8 +147,8 @@
 }
 
 /// Prints the verdict on a run and at most five of its violations.
-fn report(label: &str, verdict: &Verdict, recovery_ms: i64) -> RunSummary {
-    let Verdict {
+fn report(label: &str, verdict: &QuerySummary, recovery_ms: i64) -> RunSummary {
+    let QuerySummary {
         checked,
         succeeded,
         rejected,
@@ -178,7 +178,10 @@
         interval: QUERY_INTERVAL,
         duration: before + length + Duration::from_secs(3),
     };
-    let LoadReport { verdict, results } = query_during_fault(sites, load, |sites| {
+    let LoadReport {
+        summary: verdict,
+        results,
+    } = query_during_fault(sites, load, |sites| {
         sleep(before);
         sites.proxy.set_upstream(None);
         sites.proxy.disconnect();
@@ -208,7 +211,10 @@
         interval: QUERY_INTERVAL,
         duration: 4 * before,
     };
-    let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
+    let LoadReport {
+        summary: verdict,
+        results,
+    } = query_during_fault(&mut sites, load, |sites| {
         sleep(before);
         sites.gateway.signal("-KILL");
     });
@@ -252,12 +258,15 @@
         interval: Duration::from_millis(5),
         duration: 3 * phase_duration,
     };
-    let LoadReport { verdict, results } = query_during_fault(&mut sites, load, |sites| {
+    let LoadReport {
+        summary: verdict,
+        results,
+    } = query_during_fault(&mut sites, load, |sites| {
         sleep(phase_duration);
         sites.proxy.set_delay(delay);
         sleep(phase_duration);
         sites.proxy.set_delay(Duration::ZERO);
-        if let Some(second) = &sites.second {
+        if let Some(second) = &sites.second_gateway {
             second.proxy.set_delay(delay);
         }
         sleep(phase_duration);
@@ -309,7 +318,7 @@
     );
     let client = sites.local.child.id();
     let before = resident_megabytes(client);
-    sites.proxy.silence(Direction::ToUpstream, true);
+    sites.proxy.set_silent(Direction::ToUpstream, true);
     let (max, stop) = (std::sync::Mutex::new(0.0_f64), AtomicBool::new(false));
     scope(|threads| {
         for worker in 0..100 {
@@ -327,7 +336,7 @@
                         &text,
                         &Value::Null,
                     ));
-                    client.response();
+                    client.read_response();
                 }
             });
         }
--- a/crates/linenthread-simulation/src/members.rs
+++ b/crates/linenthread-simulation/src/members.rs
@@ -150,7 +150,7 @@
                 self.step();
             }
             let mut members = self.members.iter().flatten();
-            if members.all(|member| member.alive().count() == others) {
+            if members.all(|member| member.alive_members().count() == others) {
                 return Some(self.now - started_at);
             }
         }
--- a/crates/linenthread-simulation/src/merged/client.rs
+++ b/crates/linenthread-simulation/src/merged/client.rs
@@ -62,7 +62,7 @@
     /// Adds a row to one of the queried shards.
     pub(super) fn add_row(&mut self, rng: &mut Rand64) {
         let shard = self.shards[random::index(rng, self.shards.len())].shard;
-        let row = self.rows.add(rng, shard);
+        let row = self.rows.add_random_row(rng, shard);
         self.added.push(row);
     }
 
--- a/crates/linenthread-simulation/src/zones/simulation.rs
+++ b/crates/linenthread-simulation/src/zones/simulation.rs
@@ -54,7 +54,7 @@
         if let Fault::Drain(zone) = self.fault {
             // The drain is rejected if some shards are placed only in this zone.
             let name = format!("z{zone}");
-            drain_accepted = self.topology.may_drain(&name, &self.drained).is_ok();
+            drain_accepted = self.topology.check_drain(&name, &self.drained).is_ok();
             self.drained.extend(drain_accepted.then_some(name));
         }
         let steps = 40 + random::index(&mut self.rng, 120);
--- a/crates/linenthread-zones/src/topology.rs
+++ b/crates/linenthread-zones/src/topology.rs
@@ -66,7 +66,7 @@
     /// # Errors
     /// There is no such zone, or some shards have replicas in no other undrained zone: requests for them would be
     /// rejected.
-    pub fn may_drain(&self, zone: &str, drained: &BTreeSet<String>) -> Result<(), DrainError> {
+    pub fn check_drain(&self, zone: &str, drained: &BTreeSet<String>) -> Result<(), DrainError> {
         let mut names = self.zones.iter().map(|zone| &zone.name);
         let drains = names
             .position(|name| name == zone)
