--- a/crates/linenthread-control/src/usage_duty.rs
+++ b/crates/linenthread-control/src/usage_duty.rs
@@ -157,7 +157,7 @@
         !self.is_refused(epoch) && (has_called || now >= self.last_call_at + self.lease)
     }
 
-    /// Returns the next call, if one is due. It sends the oldest of [`UsageDuty::undelivered`].
+    /// Returns the next call, if one is due. It sends the oldest of [`UsageDuty::undelivered_reports`].
     pub fn next_call(
         &mut self,
         now: Instant,
--- a/crates/linenthread-fakes/src/client.rs
+++ b/crates/linenthread-fakes/src/client.rs
@@ -9,7 +9,7 @@
 use crate::http::read_message;
 
 /// A client connection for queries. Its methods panic if the connection fails, except `try_*` and
-/// [`Client::response`].
+/// [`Client::read_response`].
 pub struct Client(BufReader<TcpStream>);
 
 /// An HTTP response.
--- a/crates/linenthread-fakes/src/lib.rs
+++ b/crates/linenthread-fakes/src/lib.rs
@@ -1,8 +1,8 @@
 //! Fakes of the systems around a coordinator: replicas, service discovery, clients, and replicas that hold real rows.
 //! They are used by tests, simulations and `linenthread try`, and inject faults on demand.
 //!
-//! The fakes use threads and blocking sockets on loopback, and wait at most [`PATIENCE`] for each event; a rig waits up
-//! to four times as long. Except for the hash function of `linenthread-hash`, this crate shares no code with the
+//! The fakes use threads and blocking sockets on loopback, and wait at most [`EVENT_TIMEOUT`] for each event; a rig waits
+//! up to four times as long. Except for the hash function of `linenthread-hash`, this crate shares no code with the
 //! program under test, so that a bug of the program cannot be masked by the same bug here. When a step of a test fails,
 //! it panics with a message that names the event or condition it expected.
 //!
@@ -42,7 +42,7 @@
 /// The longest wait for a single event. A rig, which runs several processes, waits for a multiple of it.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits for the next event, and panics with `description` if none arrives within [`PATIENCE`].
+/// Waits for the next event, and panics with `description` if none arrives within [`EVENT_TIMEOUT`].
 fn wait<T>(events: &Receiver<T>, description: &str) -> T {
     events
         .recv_timeout(EVENT_TIMEOUT)
--- a/crates/linenthread-fakes/src/rig/load.rs
+++ b/crates/linenthread-fakes/src/rig/load.rs
@@ -75,7 +75,7 @@
     ///
     /// # Panics
     ///
-    /// If that does not happen within four times [`PATIENCE`].
+    /// If that does not happen within four times [`EVENT_TIMEOUT`].
     pub fn wait_until_serving(&self, zones: &[usize], in_a_row: usize) -> Duration {
         let since = Instant::now();
         while since.elapsed() < 4 * EVENT_TIMEOUT {
--- a/crates/linenthread-fakes/src/rig/log.rs
+++ b/crates/linenthread-fakes/src/rig/log.rs
@@ -53,7 +53,7 @@
     ///
     /// # Panics
     ///
-    /// If none arrives within three times [`PATIENCE`].
+    /// If none arrives within three times [`EVENT_TIMEOUT`].
     pub(super) fn wait_for(
         &self,
         process: &str,
--- a/crates/linenthread-fakes/src/rig/waits.rs
+++ b/crates/linenthread-fakes/src/rig/waits.rs
@@ -91,7 +91,7 @@
     ///
     /// # Panics
     ///
-    /// If there is no single leader within twice [`PATIENCE`].
+    /// If there is no single leader within twice [`EVENT_TIMEOUT`].
     pub fn wait_for_leader(&self) -> usize {
         let end = Instant::now() + 2 * EVENT_TIMEOUT;
         while Instant::now() < end {
--- a/crates/linenthread-fakes/src/scenarios.rs
+++ b/crates/linenthread-fakes/src/scenarios.rs
@@ -1,7 +1,7 @@
 //! Scripts that inject faults into a rig, run by the service's tests and by `linenthread-simulation processes`.
 //!
 //! A script panics if an expected event does not happen in time. The caller must check the outcomes of the queries that
-//! were sent in the meantime, with [`Rig::check`].
+//! were sent in the meantime, with [`Rig::stop_and_check`].
 
 mod operator;
 mod processes;
--- a/crates/linenthread-service/src/fleet/mod.rs
+++ b/crates/linenthread-service/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The state machines of `linenthread-fleet` and `linenthread-zones` contain the logic; this module connects them to
 //! sockets, files and clocks. It runs on a separate thread, so that a voter that waits for its disk does not delay
-//! queries. [`start`] is the entry point; the rest of the process exchanges the messages [`ToFleet`] and [`FromFleet`]
-//! with the thread.
+//! queries. [`start`] is the entry point; the rest of the process exchanges the messages [`FleetRequest`] and
+//! [`FleetUpdate`] with the thread.
 
 mod connection;
 mod error;
